--- a/src/consensus/entry_log.cc
+++ b/src/consensus/entry_log.cc
@@ -31,7 +31,7 @@
 void EntryLog::append(wire::LogEntry entry) {
   if (entry.index != lastIndex().next()) {
     throw Error(ResultCode::Internal, "entry " + std::to_string(entry.index.value) +
-                                          " doesn't follow entry " + std::to_string(lastIndex().value));
+                                          " does not follow entry " + std::to_string(lastIndex().value));
   }
   entries_.push_back(std::move(entry));
 }
--- a/src/consensus/entry_log.h
+++ b/src/consensus/entry_log.h
@@ -9,7 +9,7 @@
 
 namespace ferryrock::consensus {
 
-/// The entries that a member holds in memory: a contiguous run behind a base position of known term.
+/// In-memory suffix of a member's log: contiguous entries that follow a base index, whose term is known.
 class EntryLog {
  public:
   EntryLog(LogIndex base_index, Term base_term, std::vector<wire::LogEntry> entries);
@@ -17,21 +17,22 @@
   LogIndex baseIndex() const { return base_index_; }
   LogIndex lastIndex() const { return LogIndex{base_index_.value + entries_.size()}; }
   Term lastTerm() const { return entries_.empty() ? base_term_ : entries_.back().term; }
-  /// Term of the entry at index; none before the base and behind the end.
+  /// Term of the entry at index or of the base; nullopt before the base and after the last entry.
   std::optional<Term> termAt(LogIndex index) const;
-  /// index must lie in (baseIndex, lastIndex].
+  /// Throws Internal unless index lies in (baseIndex, lastIndex].
   const wire::LogEntry& at(LogIndex index) const;
 
-  /// entry.index must be lastIndex() + 1.
+  /// Throws Internal unless entry.index is lastIndex() + 1.
   void append(wire::LogEntry entry);
-  /// Drops the entries from index on; index must lie behind the base.
+  /// Drops the entries from index on; index must be greater than baseIndex().
   void truncateFrom(LogIndex index);
-  /// Forgets entries up to index, which becomes the base; index must lie in [baseIndex, lastIndex].
+  /// Drops the entries up to and including index, which becomes the base. No effect if index is at or before
+  /// the base; index must not exceed lastIndex.
   void dropThrough(LogIndex index);
-  /// Forgets everything; the next entry is base_index + 1.
+  /// Drops all entries; the next entry is base_index + 1.
   void reset(LogIndex base_index, Term base_term);
 
-  /// Entries from `from` to `to`, cut where they pass max_bytes; at least one if there is any.
+  /// Copies the entries [from, to], up to max_bytes of payload; at least one entry if the range is not empty.
   std::vector<wire::LogEntry> slice(LogIndex from, LogIndex to, std::size_t max_bytes) const;
 
  private:
--- a/src/consensus/leadership.h
+++ b/src/consensus/leadership.h
@@ -10,38 +10,40 @@
 
 namespace ferryrock::consensus {
 
-/// A round of heartbeats; a member that echoes its number followed this leader after it was sent.
+/// A round of heartbeats. A member that echoes the round's number was still following this leader after the
+/// round was sent.
 struct HeartbeatRound {
   std::uint64_t number = 0;
   TimePoint sent;
 };
 
+/// A linearizable read that waits until leadership is confirmed and its read index is committed.
 struct PendingRead {
   std::uint64_t read_id = 0;
-  std::uint64_t round = 0;  ///< a quorum must have answered this round
-  LogIndex index;           ///< must be committed
+  std::uint64_t round = 0;  ///< a quorum must have acknowledged this round
+  LogIndex index;           ///< read index; must be committed before the read is confirmed
 };
 
-/// A hand-over of leadership that was asked for.
+/// A leadership transfer in progress.
 struct Transfer {
   MemberId target;
-  TimePoint give_up;          ///< proposals are taken again from then on
-  bool timeout_sent = false;  ///< the target was told to stand for election
+  TimePoint give_up;          ///< the transfer is abandoned then, and proposals are accepted again
+  bool timeout_sent = false;  ///< TimeoutNow was sent to the target
 };
 
-/// State that a member has only while it leads.
+/// Leader-only volatile state.
 struct Leadership {
   TimePoint since;
-  LogIndex opening_index;  ///< the entry that opens the term
+  LogIndex opening_index;  ///< first entry of this term, appended on election
   TimePoint heartbeat_due;
   std::map<MemberId, Progress> peers;
   std::uint64_t round = 0;
-  std::deque<HeartbeatRound> rounds;  ///< the latest ones, oldest first
+  std::deque<HeartbeatRound> rounds;  ///< the most recent rounds, oldest first
   std::deque<PendingRead> reads;      ///< ordered by round
   std::optional<Transfer> transfer;
-  bool lease_forfeited = false;  ///< another member was told to stand for election in this term
+  bool lease_forfeited = false;  ///< TimeoutNow was sent in this term: the target's election ignores leases
 
-  /// When the round was sent; none if it is too long ago.
+  /// Send time of the round; nullopt if the round is no longer retained or was never sent.
   std::optional<TimePoint> roundSent(std::uint64_t number) const;
   void beginRound(TimePoint now);
 };
--- a/src/consensus/pending_writes.h
+++ b/src/consensus/pending_writes.h
@@ -8,31 +8,32 @@
 
 namespace ferryrock::consensus {
 
-/// Writes that aren't synced yet, and the messages that must not leave before they are.
+/// Writes that are not synced yet, and the messages that must not be sent before those writes are synced.
 class PendingWrites {
  public:
-  /// durable_index is the end of the recovered log.
+  /// durable_index is the last index of the recovered log.
   explicit PendingWrites(LogIndex durable_index) : durable_index_(durable_index) {}
 
-  /// Number of the next write.
+  /// Sequence number of the next write.
   std::uint64_t nextSequence() const { return issued_ + 1; }
   std::uint64_t lastIssued() const { return issued_; }
   bool synced(std::uint64_t sequence) const { return sequence <= synced_; }
 
-  /// Takes note of write nextSequence(), after which the log ends at last_index.
+  /// Registers write nextSequence(); last_index is the last log index once that write is synced.
   void add(LogIndex last_index);
-  /// The log was cut: nothing behind `last_index` is durable any more, whatever was written before.
+  /// Records a truncation of the log: entries after `last_index` no longer count as durable, even if an
+  /// earlier write that contains them was or will be synced.
   void truncate(LogIndex last_index);
-  /// Keeps a message until write `sequence` is synced.
+  /// Queues a message until write `sequence` is synced; sequences must not decrease.
   void hold(std::uint64_t sequence, wire::SendEffect message);
-  /// Writes up to `sequence` are synced; returns the messages that may leave now.
+  /// Marks the writes up to `sequence` as synced; returns the messages that may be sent now.
   std::vector<wire::SendEffect> onSynced(std::uint64_t sequence);
 
-  /// End of the part of the log that is synced.
+  /// Last index of the synced part of the log.
   LogIndex durableIndex() const { return durable_index_; }
 
  private:
-  friend class QuorumLogInspector;  ///< compares states for exhaustive exploration
+  friend class QuorumLogInspector;  ///< test access: fingerprints of member states
 
   struct Write {
     std::uint64_t sequence;
--- a/src/consensus/progress.h
+++ b/src/consensus/progress.h
@@ -10,31 +10,31 @@
 
 namespace ferryrock::consensus {
 
-/// What a leader knows of one other member's log.
+/// The leader's view of the log of one other member.
 struct Progress {
   enum class State : std::uint8_t {
-    Probe,      ///< the common prefix is being looked for: one batch at a time
-    Replicate,  ///< batches are sent ahead of their answers
-    Snapshot,   ///< a snapshot is being transferred
+    Probe,      ///< the end of the common prefix is unknown; one batch is in flight at a time
+    Replicate,  ///< batches are pipelined without waiting for responses
+    Snapshot,   ///< a snapshot is being sent, one chunk at a time
   };
 
   State state = State::Probe;
-  LogIndex match;                            ///< known to be equal and synced
-  LogIndex next;                             ///< first entry that wasn't sent yet
-  DiskId disk;                               ///< of the last answer; 0: none yet
-  std::optional<TimePoint> awaiting_since;   ///< in Probe and Snapshot: nothing more is sent until an answer
-  std::deque<LogIndex> inflight;             ///< last entry of each unanswered batch
-  std::uint64_t acknowledged_round = 0;      ///< highest heartbeat round that was answered
-  std::optional<TimePoint> contact;          ///< when the latest answered round was sent
-  std::shared_ptr<const Snapshot> snapshot;  ///< being transferred
+  LogIndex match;  ///< highest index known to match the leader's log and to be synced
+  LogIndex next;   ///< index of the next entry to send
+  DiskId disk;     ///< disk identity in the last response; 0: no response yet
+  std::optional<TimePoint> awaiting_since;   ///< Probe, Snapshot: send time of the unanswered message
+  std::deque<LogIndex> inflight;             ///< Replicate: last index of each unacknowledged batch
+  std::uint64_t acknowledged_round = 0;      ///< highest heartbeat round that the member acknowledged
+  std::optional<TimePoint> contact;          ///< send time of the latest acknowledged round
+  std::shared_ptr<const Snapshot> snapshot;  ///< Snapshot: the snapshot being sent
   std::uint64_t snapshot_offset = 0;
 
-  /// Looks again for the common prefix, from `from` on.
+  /// Enters Probe, with `from` as the next entry to send, but never an entry up to match.
   void probe(LogIndex from);
-  /// Takes note that the member holds everything up to index.
+  /// Records that the member has synced all entries up to index.
   void acknowledge(LogIndex index);
   void beginSnapshot(std::shared_ptr<const Snapshot> to_send);
-  /// Forgets the log of a disk that was replaced.
+  /// Resets the progress of a learner whose disk was replaced; last_index is the end of the leader's log.
   void replaceDisk(DiskId new_disk, LogIndex last_index);
 };
 
--- a/src/consensus/quorum_log_follower.cc
+++ b/src/consensus/quorum_log_follower.cc
@@ -6,7 +6,8 @@
 namespace ferryrock::consensus {
 namespace {
 
-/// True if the entries follow each other and the request's previous entry.
+/// True if the entry indexes follow previous_index without gaps and no entry's term exceeds the request's
+/// term.
 bool isWellFormed(const wire::AppendRequest& request) {
   LogIndex expected = request.previous_index.next();
   for (const wire::LogEntry& entry : request.entries) {
@@ -59,8 +60,8 @@
     sendOnceSynced(from, response);
     return;
   }
-  // A heartbeat's echo doesn't wait for entries that are still being written: it speaks only of those that
-  // are synced.
+  // The response to a heartbeat does not wait for entries that are still being written; it acknowledges only
+  // synced entries.
   if (response.accepted) {
     response.match = std::min(response.match, writes_.durableIndex());
   }
--- a/src/consensus/quorum_log_impl.cc
+++ b/src/consensus/quorum_log_impl.cc
@@ -24,7 +24,7 @@
   return settings.bootstrap ? settings.initial_membership : wire::Membership{};
 }
 
-/// The term that a message was made in; held messages of an earlier term are dropped.
+/// Term in which the message was created. Held messages of an earlier term are dropped.
 Term termOf(const wire::Message& message) {
   return std::visit(
       [](const auto& alternative) {
--- a/src/consensus/quorum_log_impl.h
+++ b/src/consensus/quorum_log_impl.h
@@ -17,18 +17,18 @@
 
 namespace ferryrock::consensus {
 
-/// The member's answer to an election that it called.
+/// State of a pre-vote or election that this member started.
 struct Candidacy {
   bool pre_vote = true;
   bool leadership_transfer = false;
-  std::uint64_t vote_write = 0;        ///< the own vote counts once this write is synced
-  std::map<MemberId, DiskId> granted;  ///< by voter: the disk that the vote came from
+  std::uint64_t vote_write = 0;        ///< the member's own vote counts once this write is synced
+  std::map<MemberId, DiskId> granted;  ///< granted votes: the voter's disk identity by voter
 };
 
-/// QuorumLog after Raft. Its parts: quorum_log_impl.cc (entry points, writes, commit),
+/// Raft implementation of QuorumLog, in several files: quorum_log_impl.cc (entry points, writes, commit),
 /// quorum_log_election.cc, quorum_log_leader.cc (replication, lease), quorum_log_follower.cc,
-/// quorum_log_reads.cc and quorum_log_members.cc (membership changes, hand-over). A copy is another member in
-/// the same state, but for the random numbers of election timeouts, which copies draw from one source.
+/// quorum_log_reads.cc and quorum_log_members.cc (membership changes, leadership transfer). Copies are
+/// independent except that they share the random number generator for election timeouts.
 class QuorumLogImpl : public QuorumLog {
  public:
   QuorumLogImpl(QuorumLogSettings settings, RecoveredState recovered, Random random, TimePoint now);
@@ -55,18 +55,18 @@
   const wire::Membership& membership() const override { return memberships_.latest(); }
 
  private:
-  friend class QuorumLogInspector;  ///< compares states for exhaustive exploration
+  friend class QuorumLogInspector;  ///< test access: fingerprints of member states
 
-  // Frame of each entry point: begin() before, finish() after; both in quorum_log_impl.cc.
+  // quorum_log_impl.cc. Each entry point calls begin() first and finish() last.
   void begin(TimePoint now);
   Effects finish();
   void reportRole();
-  /// The write of this call, made when first needed and handed out by finish().
+  /// The write of the current call; created on first use and returned as an effect by finish().
   PersistEffect& write();
   void persistHardState();
   void drawDiskIdentity();
   void send(const NodeName& to, wire::Message message);
-  /// Sends the message once everything written so far is synced, unless the term has changed by then.
+  /// Sends the message once all writes so far are synced, or drops it if the term has changed by then.
   void sendOnceSynced(const NodeName& to, wire::Message message);
   void release(std::vector<wire::SendEffect> messages);
   bool hardStateSynced() const { return writes_.synced(hard_state_write_); }
@@ -74,7 +74,8 @@
   void commitThrough(LogIndex index);
   void requestSnapshot();
   bool isVoter() const;
-  /// True if an answer from this disk stands for the voter that the membership names.
+  /// True if the member is a voter and a response from this disk counts for it: a voter whose disk was
+  /// replaced does not count.
   bool countsAsVoter(MemberId member, DiskId disk) const;
 
   // quorum_log_election.cc
@@ -118,7 +119,7 @@
   void advanceCommit();
   LogIndex quorumMatch() const;
   bool isAwaiting(const Progress& progress) const;
-  /// When the latest round that a quorum answered was sent; none if there is no such round.
+  /// Send time of the latest heartbeat round acknowledged by a quorum; nullopt if there is none.
   std::optional<TimePoint> quorumContact(TimePoint now) const;
   bool isQuorumSilent(TimePoint now) const;
   void tickLeader();
@@ -142,7 +143,7 @@
   QuorumLogSettings settings_;
   std::shared_ptr<Random> random_;
   HardState hard_state_;
-  std::shared_ptr<const Snapshot> snapshot_;  ///< the latest; null: none
+  std::shared_ptr<const Snapshot> snapshot_;  ///< the most recent; null: none
   EntryLog log_;
   MembershipHistory memberships_;
   PendingWrites writes_;
@@ -152,18 +153,18 @@
   NodeName leader_;
   LogIndex committed_;
   LogIndex snapshot_asked_;
-  TimePoint now_;             ///< of the call being served
-  TimePoint leader_contact_;  ///< no vote is given until the shortest election timeout has passed since
+  TimePoint now_;             ///< time passed to the current call; never goes back
+  TimePoint leader_contact_;  ///< no vote is granted for election_timeout_min after this time
   TimePoint election_deadline_;
-  bool knew_leader_ = false;  ///< since the start
+  bool knew_leader_ = false;  ///< a leader was known since the process start
   std::uint64_t hard_state_write_ = 0;
   std::optional<Candidacy> candidacy_;
   std::optional<Leadership> leadership_;
 
-  Effects effects_;                     ///< of the call being served
-  std::optional<PersistEffect> write_;  ///< of the call being served
+  Effects effects_;                     ///< of the current call
+  std::optional<PersistEffect> write_;  ///< of the current call
   std::optional<RoleEffect> reported_;
-  bool starting_ = true;  ///< the first call hasn't come yet
+  bool starting_ = true;  ///< no entry point has been called since the start
 };
 
 }  // namespace ferryrock::consensus
--- a/src/consensus/quorum_log_leader.cc
+++ b/src/consensus/quorum_log_leader.cc
@@ -7,7 +7,7 @@
 namespace ferryrock::consensus {
 namespace {
 
-/// The value that at least `quorum` of the values reach; the smallest possible value if there are fewer.
+/// The largest value that at least `quorum` of the values reach; T{} if there are fewer than `quorum` values.
 template <class T>
 T reachedByQuorum(std::vector<T> values, std::size_t quorum) {
   if (quorum == 0 || values.size() < quorum) {
@@ -48,7 +48,7 @@
   const LogIndex previous{progress.next.value - 1};
   const std::optional<Term> previous_term = log_.termAt(previous);
   if (progress.state != Progress::State::Snapshot && !previous_term) {
-    // The answers to what was sent are overdue for so long that the log was compacted past it.
+    // No response has arrived for so long that the log was compacted past the entries sent to this member.
     progress.beginSnapshot(snapshot_);
   }
   if (progress.state == Progress::State::Snapshot) {
@@ -126,8 +126,9 @@
   const wire::Member* known = findMember(memberships_.latest(), member);
   const bool replaced_voter = known->voter && !countsAsVoter(member, disk);
   if (replaced_voter) {
-    return nullptr;  // the member lost its disk: what it holds now doesn't stand for what it acknowledged
-                     // before
+    // The member lost its disk, and with it the entries that it acknowledged before; its responses do not
+    // count.
+    return nullptr;
   }
   Progress& progress = found->second;
   if (progress.disk != DiskId{} && progress.disk != disk) {
@@ -192,7 +193,7 @@
   const LogIndex from = std::max(std::min(hint.next(), progress.next), progress.match.next());
   const bool tells_nothing_new = progress.state == Progress::State::Probe && from == progress.next;
   if (tells_nothing_new) {
-    return;  // an answer to each would let copies of a message multiply
+    return;  // sending a batch for each would multiply duplicated messages
   }
   progress.probe(from);
   replicate();
--- a/src/consensus/quorum_log_members.cc
+++ b/src/consensus/quorum_log_members.cc
@@ -140,7 +140,8 @@
   if (!leadership_ || isVoter()) {
     return;
   }
-  // This leader was removed: it led until the change was committed, and now hands over.
+  // This leader removed itself. It leads until the change is committed, then makes the most advanced voter
+  // start an election.
   const std::optional<MemberId> successor = mostAdvancedVoter();
   if (successor) {
     send(nodeOf(*successor), wire::TimeoutNow{hard_state_.term, settings_.id});
--- a/src/consensus/quorum_log_reads.cc
+++ b/src/consensus/quorum_log_reads.cc
@@ -14,7 +14,7 @@
     effects_.emplace_back(ReadReadyEffect{read_id, committed_, true});
     return finish();
   }
-  // Earlier leaders' entries are known to be committed only once the entry that opens this term is.
+  // Which entries earlier leaders committed is known only once the first entry of this term is committed.
   const LogIndex index = std::max(committed_, leadership_->opening_index);
   const bool round_is_out = !leadership_->reads.empty();
   leadership_->reads.push_back({read_id, leadership_->round + 1, index});
--- a/src/consensus/snapshot_receiver.h
+++ b/src/consensus/snapshot_receiver.h
@@ -7,12 +7,13 @@
 
 namespace ferryrock::consensus {
 
-/// Puts together a snapshot that arrives in chunks.
+/// Assembles a snapshot that arrives in chunks.
 class SnapshotReceiver {
  public:
-  /// Takes the chunk if it is the next one. Returns the whole snapshot with its last chunk.
+  /// Appends the chunk if it starts at nextOffset() and ignores it otherwise; a chunk of another snapshot,
+  /// leader or term discards the chunks so far. Returns the complete snapshot once the last chunk is added.
   std::optional<Snapshot> add(const wire::SnapshotChunk& chunk);
-  /// Offset of the chunk that is wanted next.
+  /// Offset of the next expected chunk.
   std::uint64_t nextOffset() const { return bytes_.size(); }
   void clear();
 
--- a/tests/consensus/cell_harness.cc
+++ b/tests/consensus/cell_harness.cc
@@ -17,7 +17,7 @@
   return low + Duration(random.below(static_cast<std::uint64_t>((high - low).count()) + 1));
 }
 
-/// The simulated state machine's snapshot: digest, index and filler that makes several chunks.
+/// Snapshot of the simulated state machine: digest, index, and filler so that it takes several chunks.
 std::string stateBytes(std::uint64_t digest, LogIndex index) {
   constexpr std::size_t kFillerBytes = 1500;
   return std::to_string(digest) + ":" + std::to_string(index.value) + ":" + std::string(kFillerBytes, 'f');
@@ -79,7 +79,7 @@
     return;
   }
   if (lose_unsynced && !member.unsynced.empty()) {
-    // The process stops in the middle of a write.
+    // The process crashes in the middle of a write.
     constexpr std::uint64_t kMaximumOperations = 8;
     const bool during_sync = random_.chance(0.5);
     member.disk->crashAfter(during_sync ? 1 : random_.below(kMaximumOperations));
@@ -256,7 +256,7 @@
   member.digest = std::stoull(bytes.substr(0, bytes.find(':')));
   member.applied = effect.snapshot.last_index;
   if (bytes != stateBytes(member.digest, member.applied)) {
-    throw InvariantBroken("snapshot: its bytes aren't those that were taken");
+    throw InvariantBroken("snapshot: the restored bytes differ from those of the snapshot that was taken");
   }
   oracle_.onRestore(member.id, member.applied, member.digest);
   ++counts_.snapshots_installed;
--- a/tests/consensus/cell_harness.h
+++ b/tests/consensus/cell_harness.h
@@ -15,7 +15,8 @@
 #include "storage/log_storage.h"
 #include "storage/memory_file_system.h"
 
-/// A whole cell in one thread under a virtual clock: members on simulated disks, a lossy network, clients.
+/// Deterministic simulation of a cell in one thread under a virtual clock: members on simulated disks, a
+/// lossy network, and clients.
 namespace ferryrock::consensus {
 
 struct NetworkFaults {
@@ -48,10 +49,10 @@
   std::uint64_t segment_bytes = 4096;
   std::size_t max_batch_bytes = 2000;
   Duration longest_sync = std::chrono::milliseconds(20);
-  double clock_drift = 0.02;  ///< clocks run between 1 - drift and 1 + drift
+  double clock_drift = 0.02;  ///< clock rates lie between 1 - drift and 1 + drift
 };
 
-/// One process with its disk. The process may be stopped, the disk lost.
+/// A process and its disk. Either can fail: the process can be stopped and the disk lost.
 struct SimulatedMember {
   MemberId id;
   NodeName node;
@@ -65,7 +66,7 @@
   double clock_rate = 1;
   Duration clock_offset{};
   bool paused = false;
-  std::vector<std::function<void()>> held;  ///< what happened while it was paused
+  std::vector<std::function<void()>> held;  ///< events deferred while the process is paused
   LogIndex applied;
   std::uint64_t digest = 0;
 };
@@ -83,14 +84,14 @@
   TimePoint now() const { return now_; }
 
   void runFor(Duration duration);
-  /// Runs until the condition holds; false if it doesn't within the time.
+  /// Runs until the condition holds; returns false if it does not hold within the limit.
   bool runUntil(const std::function<bool()>& condition, Duration limit);
   void at(Duration delay, std::function<void()> action);
 
-  /// The member that leads the highest term, running and not paused; null: none.
+  /// The leader of the highest term among the members that run and are not paused; nullptr if there is none.
   SimulatedMember* leader();
   SimulatedMember* findNode(const NodeName& node);
-  /// One line a member, for the report of a broken invariant.
+  /// One line per member, for the report of a violated invariant.
   std::string describe() const;
 
   void stop(SimulatedMember& member, bool lose_unsynced = true);
@@ -100,14 +101,14 @@
   void resume(SimulatedMember& member);
   void cut(const NodeName& from, const NodeName& to, Duration duration);
   void healNetwork();
-  /// A new process on an empty disk that isn't part of the cell yet.
+  /// Adds a process on an empty disk that is not a member of the cell yet; the caller starts it.
   SimulatedMember& addProcess(MemberId id, const NodeName& node);
 
   Proposal propose(SimulatedMember& member, std::string command);
   void confirmRead(SimulatedMember& member);
   std::uint64_t readsConfirmed() const { return reads_confirmed_; }
   TimePoint localTime(const SimulatedMember& member) const;
-  /// Handles effects that a test got by calling a member itself.
+  /// Carries out the effects that a test received from a direct call of a member's log.
   void handle(SimulatedMember& member, Effects effects);
 
  private:
@@ -129,7 +130,8 @@
   void endSync(SimulatedMember& member, std::uint64_t incarnation);
   void apply(SimulatedMember& member, const ApplyEffect& effect);
   void restore(SimulatedMember& member, const RestoreEffect& effect);
-  /// Calls the action on the member's turn, unless that process is gone by then.
+  /// Runs the action on the member, or defers it while the member is paused; drops it if the process has
+  /// stopped or was restarted since.
   void onMember(SimulatedMember& member, std::uint64_t incarnation, const std::function<void()>& action);
   void checkLeases();
 
@@ -144,7 +146,7 @@
   std::map<std::pair<NodeName, NodeName>, TimePoint> cuts_;
   CellOracle oracle_;
   FaultCounts counts_;
-  std::map<std::uint64_t, LogIndex> reads_;  ///< by read: what was committed when it was asked for
+  std::map<std::uint64_t, LogIndex> reads_;  ///< by read id: the commit index when the read was requested
   std::uint64_t next_read_ = 0;
   std::uint64_t reads_confirmed_ = 0;
 };
--- a/tests/consensus/cell_oracle.cc
+++ b/tests/consensus/cell_oracle.cc
@@ -40,7 +40,8 @@
   }
   Committed& known = entries_[entry.index.value - 1];
   if (!(known.entry == entry) || known.digest != digest) {
-    throw InvariantBroken("state machine safety: member " + text(member.value) + " applies another entry " +
+    throw InvariantBroken("state machine safety: member " + text(member.value) +
+                          " applies an entry that differs from the committed one at index " +
                           text(entry.index.value));
   }
   known.committed_in = std::min(known.committed_in, member_term);
@@ -49,7 +50,8 @@
 
 void CellOracle::onRestore(MemberId member, LogIndex index, std::uint64_t digest) const {
   if (index > committed() || digestAt(index) != digest) {
-    throw InvariantBroken("snapshot: member " + text(member.value) + " restores another state at " +
+    throw InvariantBroken("snapshot: member " + text(member.value) +
+                          " restores a state that differs from the committed history at entry " +
                           text(index.value));
   }
 }
--- a/tests/consensus/cell_oracle.h
+++ b/tests/consensus/cell_oracle.h
@@ -8,28 +8,29 @@
 
 #include "consensus/quorum_log.h"
 
-/// The simple model that a simulated cell is checked against.
+/// The reference model that a simulated cell is checked against.
 namespace ferryrock::consensus {
 
-/// A broken invariant; the text names it and the place.
+/// An invariant was violated; the message names the invariant and the member, term or entry.
 class InvariantBroken : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// What the members committed, all together. Each member throws InvariantBroken.
+/// History of all entries committed by any member. The on... functions throw InvariantBroken.
 class CellOracle {
  public:
-  /// Election safety: one leader in a term. Leader completeness: it holds what was committed in earlier
-  /// terms.
+  /// Election safety: at most one leader per term. Leader completeness: the leader's log contains every entry
+  /// committed in earlier terms.
   void onLeader(MemberId member, Term term, LogIndex last_index);
-  /// State machine safety: the same entry at each index. Returns the digest of the history up to the entry.
+  /// State machine safety: all members apply the same entry at each index. Returns the digest of the history
+  /// up to and including the entry.
   std::uint64_t onApply(MemberId member, Term member_term, const wire::LogEntry& entry,
                         std::uint64_t digest_before);
   void onRestore(MemberId member, LogIndex index, std::uint64_t digest) const;
-  /// Linearizable reads: the state read holds what was committed when the read was asked for.
+  /// Linearizability: the state read includes every entry committed before the read was requested.
   void onRead(MemberId member, LogIndex applied, LogIndex committed_when_asked) const;
-  /// No newer leader has committed anything while a member claims a lease.
+  /// Lease safety: no entry of a later term is committed while a member holds a lease.
   void onLease(MemberId member, Term term) const;
 
   LogIndex committed() const { return LogIndex{entries_.size()}; }
@@ -38,11 +39,11 @@
  private:
   struct Committed {
     wire::LogEntry entry;
-    Term committed_in;  ///< the earliest term known of a member that applied it
+    Term committed_in;  ///< lowest term in which a member is known to have applied the entry
     std::uint64_t digest = 0;
   };
   std::map<Term, MemberId> leaders_;
-  std::vector<Committed> entries_;  ///< index 1 first
+  std::vector<Committed> entries_;  ///< position 0 holds index 1
 };
 
 }  // namespace ferryrock::consensus
--- a/tests/consensus/defect_switch.h
+++ b/tests/consensus/defect_switch.h
@@ -8,13 +8,13 @@
 
 namespace ferryrock::consensus {
 
-/// A deliberate defect and a seed of the fault schedules that catches it; also listed in
-/// docs/design/consensus.md. The other defects of Defects are caught by member_defect_test.cc.
+/// A deliberate defect and a fault schedule seed that detects it; also listed in docs/design/consensus.md.
+/// member_defect_test.cc detects the remaining members of Defects.
 struct DefectSwitch {
   std::string_view name;
   bool Defects::*flag;
   std::uint64_t seed;
-  std::string_view invariant;  ///< start of the report
+  std::string_view invariant;  ///< prefix of the reported violation
 };
 
 inline constexpr std::array kDefectSwitches{
--- a/tests/consensus/fault_schedule.cc
+++ b/tests/consensus/fault_schedule.cc
@@ -64,7 +64,7 @@
   }
   const bool formed = cell_.runUntil([this] { return cell_.oracle().committed() > LogIndex{}; }, seconds(30));
   if (!formed) {
-    throw InvariantBroken("progress: the cell didn't form");
+    throw InvariantBroken("progress: the cell did not form within 30 s");
   }
 }
 
@@ -101,7 +101,7 @@
 
 void FaultSchedule::clientStep() {
   constexpr double kReadShare = 0.3;
-  // Any member that believes it leads is asked, also one that was cut off.
+  // Clients use every member that considers itself the leader, including one that is partitioned off.
   for (std::size_t number = 0; number < cell_.memberCount(); ++number) {
     SimulatedMember& member = cell_.member(number);
     if (!member.log || member.paused || member.log->role() != Role::Leader) {
@@ -199,7 +199,7 @@
   cell_.cut(from->node, to->node, milliseconds(100 + cell_.random().below(4000)));
 }
 
-/// Both still reach the other members.
+/// Cuts the link between the member and the leader; both still reach the other members.
 void FaultSchedule::cutFromLeader(const SimulatedMember& member) {
   const SimulatedMember* leader = cell_.leader();
   if (leader == nullptr) {
@@ -221,7 +221,7 @@
   });
 }
 
-/// Every wanted member votes, and nothing is open.
+/// True if the voters are exactly the desired members, no member's disk is lost, and nothing is uncommitted.
 bool FaultSchedule::isSettled() {
   const SimulatedMember* leader = cell_.leader();
   if (leader == nullptr || leader->log->committed() != leader->log->lastIndex() || !lost_.empty()) {
@@ -237,8 +237,8 @@
   return voters == desired_;
 }
 
-/// The process comes back on an empty disk under its old identity, as a careless repair does; the operator
-/// replaces it.
+/// Restarts a process on an empty disk under its old identity, which models a faulty repair; the operator
+/// later replaces the identity.
 void FaultSchedule::loseOneDisk() {
   SimulatedMember* member = anyRunning();
   if (!isSettled() || !desired_.contains(member->id)) {
@@ -353,7 +353,7 @@
   const bool progressed =
       elected && cell_.runUntil([this, before] { return cell_.oracle().committed() > before; }, seconds(30));
   if (!progressed) {
-    throw InvariantBroken("progress: nothing was committed after everything was healed");
+    throw InvariantBroken("progress: nothing was committed within 30 s after all faults were healed");
   }
   const bool complete = cell_.runUntil(
       [this] {
@@ -369,7 +369,9 @@
       },
       seconds(30));
   if (!complete) {
-    throw InvariantBroken("progress: not every member got every committed entry");
+    throw InvariantBroken(
+        "progress: not every member applied all committed entries within 30 s after all faults were "
+        "healed");
   }
 }
 
--- a/tests/consensus/fault_schedule.h
+++ b/tests/consensus/fault_schedule.h
@@ -8,15 +8,16 @@
 
 namespace ferryrock::consensus {
 
-/// What one seed came to.
+/// Result of the schedule of one seed.
 struct ScheduleResult {
   std::uint64_t seed = 0;
-  std::string broken;  ///< the invariant that broke; empty: none
+  std::string broken;  ///< the violated invariant and the members' states; empty: none
   std::uint64_t committed = 0;
   FaultCounts counts;
 };
 
-/// Runs a cell under faults drawn from a seed, then heals everything and asks for progress.
+/// Runs a cell under faults derived from a seed, then heals all faults and checks that the cell makes
+/// progress.
 class FaultSchedule {
  public:
   FaultSchedule(std::uint64_t seed, const Defects& defects);
@@ -45,9 +46,9 @@
 
   std::uint64_t seed_;
   CellHarness cell_;
-  std::set<MemberId> desired_;  ///< voters that the operator wants
-  std::set<MemberId> lost_;     ///< lost their disk under this identity
-  std::set<MemberId> retired_;  ///< removed for good
+  std::set<MemberId> desired_;  ///< target voters; the operator steps change the membership towards them
+  std::set<MemberId> lost_;     ///< identities whose disk was lost
+  std::set<MemberId> retired_;  ///< removed from the cell; never started again
   std::uint64_t next_id_ = 100;
   std::uint64_t commands_ = 0;
   bool faults_on_ = true;
--- a/tests/consensus/fault_schedule_test.cc
+++ b/tests/consensus/fault_schedule_test.cc
@@ -36,7 +36,7 @@
             << counts.snapshots_installed << std::endl;
 }
 
-/// Runs the seeds and returns how many broke an invariant.
+/// Runs the seeds and returns the number of seeds that violated an invariant.
 std::uint64_t sweep(std::uint64_t first, std::uint64_t last, const Defects& defects) {
   FaultCounts sum;
   std::uint64_t committed = 0;
@@ -55,13 +55,14 @@
   return broken;
 }
 
-TEST_CASE("a cell keeps its promises under mixed faults") {
+TEST_CASE("no invariant is violated under mixed faults") {
   constexpr std::uint64_t kFirstSeed = 1;
   constexpr std::uint64_t kLastSeed = 500;
   CHECK(sweep(kFirstSeed, kLastSeed, Defects{}) == 0);
 }
 
-/// The defects that FERRYROCK_DEFECT names; none if it isn't set. An unknown name fails the test.
+/// The defect selected by FERRYROCK_DEFECT, or no defect if the variable is not set. An unknown name fails
+/// the test.
 Defects chosenDefects() {
   Defects defects;
   const char* name = std::getenv("FERRYROCK_DEFECT");
@@ -75,8 +76,8 @@
   return defects;
 }
 
-/// FERRYROCK_SEEDS=A..B chooses the seeds, FERRYROCK_DEFECT a name of kDefectSwitches.
-TEST_CASE("sweep of chosen seeds", "[.][sweep]") {
+/// FERRYROCK_SEEDS=A..B selects the seeds, FERRYROCK_DEFECT a defect of kDefectSwitches by name.
+TEST_CASE("no invariant is violated at the selected seeds", "[.][sweep]") {
   const char* range = std::getenv("FERRYROCK_SEEDS");
   const std::string seeds = range == nullptr ? "1..1000" : range;
   const std::size_t dots = seeds.find("..");
@@ -84,7 +85,7 @@
   CHECK(sweep(std::stoull(seeds.substr(0, dots)), std::stoull(seeds.substr(dots + 2)), chosenDefects()) == 0);
 }
 
-TEST_CASE("each deliberate defect is caught by its seed") {
+TEST_CASE("each deliberate defect is detected at its seed") {
   for (const DefectSwitch& defect : kDefectSwitches) {
     INFO(defect.name << ", seed " << defect.seed);
     Defects defects;
--- a/tests/consensus/fault_table_test.cc
+++ b/tests/consensus/fault_table_test.cc
@@ -18,7 +18,7 @@
   return *cell.leader();
 }
 
-/// A follower of the leader.
+/// The follower at position `which` among the members other than the leader.
 SimulatedMember& follower(CellHarness& cell, std::size_t which) {
   std::vector<SimulatedMember*> followers;
   for (std::size_t number = 0; number < cell.memberCount(); ++number) {
@@ -45,7 +45,7 @@
   }
 }
 
-/// Nothing is committed for a while.
+/// Checks that nothing is committed for 20 s.
 void checkStandstill(CellHarness& cell) {
   const LogIndex before = cell.oracle().committed();
   cell.runFor(seconds(20));
@@ -62,7 +62,7 @@
 
 void leaderStopsAfterCommit(CellHarness& cell) {
   SimulatedMember& leader = awaitLeader(cell);
-  const LogIndex index = cell.propose(leader, "committed, not answered").index;
+  const LogIndex index = cell.propose(leader, "committed, not acknowledged").index;
   REQUIRE(cell.runUntil([&] { return cell.oracle().committed() >= index; }, kLimit));
   cell.stop(leader);
   CHECK(awaitLeader(cell).log->lastIndex() >= index);
@@ -179,21 +179,21 @@
 struct FaultRow {
   const char* name;
   std::function<void(CellHarness&)> happen;
-  bool goes_on;  ///< a majority of disks is left, so more must be committed
+  bool goes_on;  ///< a majority of the disks is intact, so the cell must commit more entries
 };
 
-TEST_CASE("each fault of the table ends as it should") {
+TEST_CASE("a cell survives each fault of the table, and makes no progress without a majority of disks") {
   const std::vector<FaultRow> rows{
       {"leader stopped between append and sync", leaderStopsBeforeSync, true},
-      {"leader stopped between commit and answer", leaderStopsAfterCommit, true},
-      {"leader cut off in silence for an hour, and back", leaderCutOffForAnHour, true},
-      {"leader heard by all, hears none", leaderIsHeardButDoesNotHear, true},
+      {"leader stopped between commit and response", leaderStopsAfterCommit, true},
+      {"leader partitioned off for an hour, then healed", leaderCutOffForAnHour, true},
+      {"leader can send but not receive", leaderIsHeardButDoesNotHear, true},
       {"follower restarted after 500 entries", followerMissesFiveHundred, true},
-      {"member repaired with an empty disk, at once a second one lost", secondLossRightAfterRepair, true},
+      {"member restarted on an empty disk, then a second member stopped", secondLossRightAfterRepair, true},
       {"majority of the disks lost", majorityLosesItsDisks, false},
       {"all members restarted at once", allRestartAtOnce, true},
-      {"leader's clock jumps by an hour", leadersClockJumps, true},
-      {"change of members interrupted at each step", changeOfMembersInterrupted, true},
+      {"leader's clock jumps ahead by an hour", leadersClockJumps, true},
+      {"membership change interrupted at each step", changeOfMembersInterrupted, true},
   };
   for (const FaultRow& row : rows) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
--- a/tests/consensus/member_defect_test.cc
+++ b/tests/consensus/member_defect_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// Entries that replaced synced ones aren't acknowledged before they are synced themselves.
+/// Entries that replace synced ones are acknowledged only after they are synced themselves.
 bool acknowledgesOnlySynced(const Defects& defects) {
   SingleMember member(defects, {1, 1});
   const Term term{2};
@@ -32,7 +32,7 @@
   return member.takeSent<wire::AppendResponse>().back().match == LogIndex{3};
 }
 
-/// A leader changes no members before an entry of its own term is committed.
+/// A leader accepts a membership change only after it has committed an entry of its own term.
 bool changesMembersOnlyInItsTerm(const Defects& defects) {
   SingleMember member(defects, {1});
   member.lead();
@@ -46,7 +46,7 @@
   return refused && accepted_later;
 }
 
-/// Entries of earlier terms are committed only by one of the leader's own.
+/// Entries of earlier terms are committed only together with a later entry of the leader's own term.
 bool commitsOnlyItsTerm(const Defects& defects) {
   SingleMember member(defects, {1, 2});
   member.lead();
@@ -60,7 +60,7 @@
   return held_back && member.log().committed() == older.next();
 }
 
-/// A vote leaves only once it is synced.
+/// A vote is sent only after it is synced.
 bool votesOnlyOnceSynced(const Defects& defects) {
   SingleMember member(defects, {1});
   member.wait(milliseconds(400));
@@ -77,13 +77,13 @@
   bool Defects::*defect;
 };
 
-TEST_CASE("a member's promises hold, and each deliberate defect breaks one") {
+TEST_CASE("each safety guarantee of a member holds, and a deliberate defect violates it") {
   const std::vector<PromiseRow> rows{
-      {"acknowledges only what is synced", acknowledgesOnlySynced, &Defects::keep_durable_at_truncation},
-      {"changes members only in its own term", changesMembersOnlyInItsTerm,
+      {"acknowledges only synced entries", acknowledgesOnlySynced, &Defects::keep_durable_at_truncation},
+      {"changes members only after a commit in its own term", changesMembersOnlyInItsTerm,
        &Defects::overlapping_member_changes},
-      {"commits only by entries of its own term", commitsOnlyItsTerm, &Defects::commit_older_terms},
-      {"votes only once the vote is synced", votesOnlyOnceSynced, &Defects::answer_before_sync},
+      {"commits earlier terms only through its own term", commitsOnlyItsTerm, &Defects::commit_older_terms},
+      {"sends a vote only after it is synced", votesOnlyOnceSynced, &Defects::answer_before_sync},
   };
   for (const PromiseRow& row : rows) {
     INFO(row.name);
@@ -94,7 +94,8 @@
   }
 }
 
-TEST_CASE("a refusal that tells nothing new isn't answered with another batch") {
+/// A batch in reply to every rejection would multiply duplicated messages.
+TEST_CASE("a repeated rejection does not trigger another batch") {
   SingleMember member(Defects{}, {1, 1, 1});
   member.lead();
   member.sync();
@@ -107,7 +108,9 @@
   CHECK(member.takeSent<wire::AppendRequest>().empty());
 }
 
-TEST_CASE("a member that lost what it acknowledged is asked again at intervals, not at once") {
+/// A member that lost acknowledged entries rejects every batch. The leader must not send a new batch for each
+/// rejection.
+TEST_CASE("a member that lost acknowledged entries is probed at intervals, not at every rejection") {
   SingleMember member(Defects{}, {1, 1, 1});
   member.lead();
   member.sync();
--- a/tests/consensus/member_fixture.h
+++ b/tests/consensus/member_fixture.h
@@ -9,26 +9,27 @@
 
 namespace ferryrock::consensus {
 
-/// One member of a formed cell of three, driven message by message. Its disk syncs only when told.
+/// One member of a formed cell (three members by default), driven message by message. Writes are synced only
+/// by sync().
 class SingleMember {
  public:
-  /// The member is number 1; its log holds entry 1, which formed the cell in term 1, and then one entry for
-  /// each of terms.
+  /// Creates member 1. Its log holds entry 1, which formed the cell in term 1, followed by one entry for each
+  /// element of terms.
   SingleMember(const Defects& defects, const std::vector<std::uint64_t>& terms, std::size_t members = 3);
 
   QuorumLog& log() { return *log_; }
-  /// The message comes from a member; its answers are kept in sent().
+  /// Delivers a message from member `from`; responses are collected for takeSent().
   void receive(std::uint64_t from, const wire::Message& message);
-  /// Everything written so far is synced.
+  /// Marks all writes so far as synced.
   void sync();
-  /// Time passes, with the ticks that are due.
+  /// Advances the clock and runs the ticks that are due.
   void wait(Duration duration);
-  /// Leads the next term by the votes of member 2.
+  /// Makes the member leader of the next term, with the vote of member 2.
   void lead();
   void proposeOne() { handle(log_->propose("command", now_).effects); }
   void handle(Effects effects);
 
-  /// Messages of one type that left since the last call.
+  /// Returns the messages of type T sent since the last call and discards those of other types.
   template <class T>
   std::vector<T> takeSent() {
     std::vector<T> taken;
--- a/tests/consensus/model.cc
+++ b/tests/consensus/model.cc
@@ -37,7 +37,7 @@
   return membership;
 }
 
-/// What a member's disk holds in the beginning.
+/// Initial contents of a member's disk.
 RecoveredState firstDisk(const ModelSettings& settings, std::size_t position) {
   RecoveredState disk;
   disk.hard_state = {Term{settings.terms[position]}, MemberId{}, diskAt(position)};
@@ -89,7 +89,8 @@
   QuorumLogSettings settings;
   settings.id = memberAt(position);
   settings.node = nodeAt(position);
-  // No member ever believes that a leader is there, or that a quorum is silent: steps decide that.
+  // These timeouts disable timing: no member has leader contact, and no leader loses quorum contact. Steps
+  // decide about elections.
   settings.heartbeat = Duration(1);
   settings.election_timeout_min = Duration{};
   settings.election_timeout_max = std::chrono::hours(1);
@@ -259,7 +260,7 @@
       [&delivered](QuorumLogImpl& log) { return log.receive(delivered->from, delivered->message, kStart); });
 }
 
-/// Takes the steps that need no choice.
+/// Syncs pending writes if no crash can follow, and drops obsolete messages.
 void ModelState::settle() {
   if (left_.crashes == 0) {
     for (std::size_t position = 0; position < kModelMembers; ++position) {
@@ -329,8 +330,8 @@
 }
 
 std::string ModelState::describe(const Step& step) const {
-  static constexpr std::array kNames{"deliver",           "deliver a copy of",  "sync",    "crash",
-                                     "crash after write", "stand for election", "propose", "heartbeat"};
+  static constexpr std::array kNames{"deliver",           "deliver a copy of", "sync",    "crash",
+                                     "crash after write", "start election",    "propose", "heartbeat"};
   static constexpr std::array kMessages{"VoteRequest",    "VoteResponse",  "AppendRequest",
                                         "AppendResponse", "SnapshotChunk", "SnapshotResponse",
                                         "TimeoutNow"};
@@ -345,7 +346,7 @@
 
 namespace {
 
-/// 128 bits, so that two different states hardly ever share them.
+/// 128-bit hash of a state's fingerprint, which makes collisions negligible.
 struct StateKey {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -361,7 +362,7 @@
   return {stableHash(text, 1), stableHash(text, 2)};
 }
 
-/// How a state was reached first.
+/// Predecessor and step by which a state was first reached.
 struct Origin {
   StateKey from;
   Step step;
--- a/tests/consensus/model.h
+++ b/tests/consensus/model.h
@@ -10,16 +10,16 @@
 #include "cell_oracle.h"
 #include "consensus/quorum_log_impl.h"
 
-/// All that can happen to three members of a formed cell, one step at a time. Time has no say: elections
-/// begin whenever a step says so, and no member counts on a leader's lease. Messages may be late for ever,
-/// which is the same as lost. What makes no difference isn't explored: writes are synced at once when no
-/// crash is left, answers that can't matter any more are taken away, and heartbeats of a new leader count as
-/// lost unless the budget has some.
+/// Exhaustive exploration of the steps of a formed cell of three members. Time is not modelled: a step can
+/// start an election in any state, and no member relies on leader contact or leases. A message that is never
+/// delivered is equivalent to a lost one. Steps that cannot change the outcome are not explored: writes are
+/// synced immediately once the crash budget is used up, obsolete responses are dropped, and heartbeats count
+/// as lost if the heartbeat budget is zero.
 namespace ferryrock::consensus {
 
 inline constexpr std::size_t kModelMembers = 3;
 
-/// How often each kind of step may be taken on one path.
+/// Maximum number of steps of each kind on one path.
 struct Budget {
   std::uint8_t elections = 0;
   std::uint8_t crashes = 0;
@@ -29,17 +29,18 @@
 };
 
 struct ModelSettings {
-  /// By member: the terms of its entries, from entry 2 on; entry 1 formed the cell in term 1.
+  /// Terms of the entries of each member, from entry 2 on; entry 1 formed the cell in term 1.
   std::array<std::vector<std::uint64_t>, kModelMembers> logs;
-  /// By member: its term.
+  /// Initial term of each member.
   std::array<std::uint64_t, kModelMembers> terms{1, 1, 1};
   Budget budget;
   Defects defects;
-  /// Members that may stand for election first; the others do what they would, under other names.
+  /// The first election may be started only by the first first_candidates members: if the members are
+  /// interchangeable, the other candidates lead to equivalent states.
   std::size_t first_candidates = kModelMembers;
 };
 
-/// One member with its disk; shared between states.
+/// One member and its disk; shared between states.
 struct ModelMember {
   std::shared_ptr<const QuorumLogImpl> log;
   std::vector<PersistEffect> unsynced;
@@ -47,7 +48,7 @@
   std::string fingerprint;
 };
 
-/// A message on its way.
+/// A message in flight.
 struct Packet {
   std::size_t to = 0;  ///< position of the receiver
   NodeName from;
@@ -57,10 +58,10 @@
 
 enum class StepKind : std::uint8_t {
   Deliver,
-  DeliverCopy,  ///< and the message stays on its way
+  DeliverCopy,  ///< deliver, and keep the message in flight
   Sync,
-  Crash,            ///< and start again; unsynced writes are lost
-  CrashAfterWrite,  ///< the unsynced writes reached the disk
+  Crash,            ///< crash and restart; unsynced writes are lost
+  CrashAfterWrite,  ///< crash and restart; unsynced writes have reached the disk
   StandForElection,
   Propose,
   Heartbeat,
@@ -68,26 +69,26 @@
 
 struct Step {
   StepKind kind = StepKind::Deliver;
-  std::size_t position = 0;  ///< of the member, or of the message
+  std::size_t position = 0;  ///< of the member in members_, or of the message in packets_
 };
 
-/// One state of the cell. Copies share what they have in common.
+/// One state of the cell. Copies share unchanged members, messages and history.
 class ModelState {
  public:
   explicit ModelState(std::shared_ptr<const ModelSettings> settings);
 
-  /// Steps that are possible here.
+  /// Steps that are possible in this state.
   std::vector<Step> steps() const;
-  /// The state after a step. Throws InvariantBroken.
+  /// The state after a step. Throws InvariantBroken if the step violates an invariant.
   ModelState after(const Step& step) const;
-  /// Equal for states from which the same can happen.
+  /// Equal for states that have equivalent successors.
   std::string fingerprint() const;
   std::string describe(const Step& step) const;
 
  private:
   QuorumLogSettings memberSettings(std::size_t position) const;
   void start(std::size_t position, RecoveredState disk);
-  /// Calls the action on a copy of the member and carries out the effects.
+  /// Runs the action on a copy of the member and applies its effects.
   template <class Action>
   void act(std::size_t position, const Action& action);
   void carryOut(std::size_t position, Effects effects, ModelMember& member);
@@ -110,13 +111,14 @@
 struct Exploration {
   std::uint64_t states = 0;
   std::uint64_t steps = 0;
-  std::size_t depth = 0;           ///< every path of that many steps was seen
-  bool complete = false;           ///< every state within the budget was seen
-  std::string broken;              ///< the invariant; empty: none
-  std::vector<std::string> trace;  ///< the shortest way there
+  std::size_t depth = 0;           ///< all paths of this many steps were explored
+  bool complete = false;           ///< all states within the budget were explored
+  std::string broken;              ///< the violated invariant; empty: none
+  std::vector<std::string> trace;  ///< shortest sequence of steps to the violation
 };
 
-/// Explores breadth-first until an invariant breaks, nothing is new, or max_states states were seen.
+/// Explores breadth-first until an invariant is violated, no new state is found, or max_states states are
+/// known.
 Exploration explore(const ModelSettings& settings, std::uint64_t max_states);
 
 }  // namespace ferryrock::consensus
--- a/tests/consensus/model_check_test.cc
+++ b/tests/consensus/model_check_test.cc
@@ -12,7 +12,7 @@
   std::uint64_t max_states;
 };
 
-/// All members hold the same; whoever stands first may as well be member 1.
+/// All members have identical logs, so the first candidate can be fixed to member 1.
 ModelSettings alike(Budget budget) {
   ModelSettings settings;
   settings.budget = budget;
@@ -20,7 +20,7 @@
   return settings;
 }
 
-/// Member 1 led term 2 and member 2 led term 3, each with an entry of its own that no other holds.
+/// Members 1 and 2 led terms 2 and 3, and each has an entry of its term that no other member has.
 ModelSettings parted(Budget budget) {
   ModelSettings settings;
   settings.logs = {{{2}, {3}, {}}};
@@ -31,21 +31,20 @@
 
 void print(const char* name, const Exploration& found) {
   std::cout << name << ": " << found.states << " states, " << found.steps << " steps, all paths of "
-            << found.depth << " steps" << (found.complete ? ", and there are no longer ones" : "")
-            << std::endl;
+            << found.depth << " steps" << (found.complete ? ", no longer paths exist" : "") << std::endl;
   for (const std::string& step : found.trace) {
     std::cout << "  " << step << std::endl;
   }
 }
 
-TEST_CASE("no order of messages, crashes and elections breaks an invariant") {
+TEST_CASE("no order of messages, crashes and elections violates an invariant") {
   const std::vector<ModelRow> rows{
       {"one election, one crash", alike({1, 1, 0, 0, 0}), 40'000},
       {"two elections", alike({2, 0, 0, 0, 0}), 40'000},
       {"two elections, one crash", alike({2, 1, 0, 0, 0}), 40'000},
       {"one election, a proposal, a heartbeat, a copy", alike({1, 0, 1, 1, 1}), 40'000},
-      {"parted logs, two elections", parted({2, 0, 0, 0, 0}), 40'000},
-      {"parted logs, two elections, one crash", parted({2, 1, 0, 0, 0}), 40'000},
+      {"divergent logs, two elections", parted({2, 0, 0, 0, 0}), 40'000},
+      {"divergent logs, two elections, one crash", parted({2, 1, 0, 0, 0}), 40'000},
   };
   for (const ModelRow& row : rows) {
     const Exploration found = explore(row.settings, row.max_states);
--- a/tests/consensus/quorum_log_inspector.cc
+++ b/tests/consensus/quorum_log_inspector.cc
@@ -3,7 +3,7 @@
 namespace ferryrock::consensus {
 namespace {
 
-/// Numbers and texts one behind the other, each with its end.
+/// Serializes numbers and texts unambiguously: numbers are terminated, texts are prefixed by their length.
 class Writer {
  public:
   Writer& number(std::uint64_t value) {
--- a/tests/consensus/quorum_log_inspector.h
+++ b/tests/consensus/quorum_log_inspector.h
@@ -6,11 +6,11 @@
 
 namespace ferryrock::consensus {
 
-/// Compares the states of members.
+/// Gives tests access to the internal state of a member.
 class QuorumLogInspector {
  public:
-  /// Equal for two members that will behave alike. Leaves out times: the model gives members no way to tell
-  /// how much time has passed.
+  /// Equal for two members that behave identically from here on. Excludes time points, because time is not
+  /// modelled.
   static std::string fingerprint(const QuorumLogImpl& member);
   static const EntryLog& entries(const QuorumLogImpl& member) { return member.log_; }
 };
