--- a/src/storage/folder_reader.cc
+++ b/src/storage/folder_reader.cc
@@ -17,17 +17,17 @@
   return name + " byte " + std::to_string(offset);
 }
 
-/// Decodes what passed its checksum; refuses it as damaged all the same if it can't be read.
+/// Decodes a payload whose checksum is valid. Throws CorruptRecord if it cannot be decoded nevertheless.
 template <class Decode>
 auto decodeSound(const Decode& decode, std::string_view payload, const std::string& place) {
   try {
     return decode(payload);
   } catch (const Error& fault) {
-    corrupt("the record can't be read: " + fault.detail(), place);
+    corrupt("the record has a valid checksum but cannot be decoded: " + fault.detail(), place);
   }
 }
 
-/// Applies the records of all segments in order.
+/// Rebuilds the hard state and the log from the records of all segments, applied in order.
 class Replay {
  public:
   explicit Replay(FolderContents& contents) : contents_(contents) {}
@@ -47,8 +47,8 @@
     }
   }
 
-  /// Drops what the snapshot replaces: the entries up to last_index, or all if they part from the snapshot's
-  /// log.
+  /// Drops the entries that the snapshot replaces: those up to last_index, or all of them if the log has no
+  /// entry of last_term at last_index.
   void replaceThrough(LogIndex last_index, Term last_term) {
     auto& entries = contents_.entries;
     if (entries.empty() || entries.front().index > last_index) {
@@ -65,11 +65,11 @@
  private:
   void applyHeader(const SegmentHeader& header, const SegmentContents& segment, const std::string& place) {
     if (header.format != kStorageFormat) {
-      throw Error(ResultCode::WrongDataFolder, "the folder has format " + std::to_string(header.format),
-                  place);
+      throw Error(ResultCode::WrongDataFolder,
+                  "unsupported storage format of the data folder: " + std::to_string(header.format), place);
     }
     if (header.segment != segment.number || (contents_.header && contents_.header->member != header.member)) {
-      corrupt("the segment's header names another segment or member", place);
+      corrupt("the header of the segment names another segment or member", place);
     }
     contents_.header = header;
   }
@@ -95,7 +95,8 @@
   FolderContents& contents_;
 };
 
-/// The newest snapshot whose name is final; it was synced before it got that name.
+/// Reads the newest snapshot that has its final name. A snapshot is synced before it is renamed to that name,
+/// so damage in it is not a torn write.
 std::optional<SnapshotContents> readSnapshot(FileSystem& files, const std::vector<std::string>& names) {
   const auto newest =
       std::find_if(names.rbegin(), names.rend(), [](const auto& name) { return isSnapshotName(name); });
@@ -105,12 +106,12 @@
   const std::string bytes = files.read(*newest);
   const FrameScan scan = scanFrames(bytes);
   if (scan.frames.size() != 1 || scan.valid_bytes != bytes.size()) {
-    corrupt("the snapshot fails its checksum", *newest);
+    corrupt("the snapshot is truncated or its checksum does not match", *newest);
   }
   SnapshotContents contents{*newest, bytes.size(),
                             decodeSound(decodeSnapshot, scan.frames.front().payload, *newest)};
   if (snapshotName(contents.snapshot.last_index) != *newest) {
-    corrupt("the snapshot has another index than its name", *newest);
+    corrupt("the snapshot has another index than its file name", *newest);
   }
   return contents;
 }
@@ -119,7 +120,7 @@
   const std::string digits = name.substr(segmentName(0).size() - 20);
   const bool is_number = digits.size() == 20 && digits.find_first_not_of("0123456789") == std::string::npos;
   if (!is_number) {
-    corrupt("the file's name isn't a segment's", name);
+    corrupt("the name of the file is not a valid segment name", name);
   }
   return std::stoull(digits);
 }
@@ -129,7 +130,7 @@
     return;
   }
   if (scan.later_frame) {
-    corrupt("a damaged record is followed by a sound one at byte " + std::to_string(*scan.later_frame),
+    corrupt("a damaged record is followed by a valid one at byte " + std::to_string(*scan.later_frame),
             atByte(segment.name, scan.valid_bytes));
   }
   if (!is_last) {
@@ -159,7 +160,7 @@
     const Records records = decodeSound(decodeRecords, frame.payload, place);
     const bool opens_segment = frame.offset == 0;
     if (opens_segment && (records.empty() || !std::holds_alternative<SegmentHeader>(records.front()))) {
-      corrupt("the segment doesn't begin with its header", place);
+      corrupt("the segment does not begin with its header", place);
     }
     for (const Record& record : records) {
       replay.apply(record, segment, place);
@@ -170,7 +171,7 @@
 void checkWhole(const FolderContents& contents) {
   const LogIndex base = contents.snapshot ? contents.snapshot->snapshot.last_index : LogIndex{};
   if (contents.snapshot && !contents.header) {
-    corrupt("there is a snapshot, but no segment", contents.snapshot->name);
+    corrupt("the folder has a snapshot but no segment", contents.snapshot->name);
   }
   if (!contents.entries.empty() && contents.entries.front().index != base.next()) {
     corrupt("the first entry is " + std::to_string(contents.entries.front().index.value) +
--- a/src/storage/folder_reader.h
+++ b/src/storage/folder_reader.h
@@ -9,17 +9,17 @@
 #include "storage/log_records.h"
 #include "storage/log_storage.h"
 
-/// Reads a data folder without changing it; used by recovery and by inspection.
+/// Read-only scan of a data folder; used by recovery and by the inspect command.
 namespace ferryrock::storage {
 
 struct SegmentContents {
   std::string name;
   std::uint64_t number = 0;
   std::uint64_t bytes = 0;
-  std::uint64_t valid_bytes = 0;  ///< less than bytes: a torn tail
+  std::uint64_t valid_bytes = 0;  ///< size of the valid prefix; less than bytes: the segment has a torn tail
   std::uint64_t frames = 0;
   std::uint64_t entries = 0;
-  LogIndex highest_index;  ///< of any entry in the segment; 0: none
+  LogIndex highest_index;  ///< highest index of all entries in the segment; 0: no entries
 };
 
 struct SnapshotContents {
@@ -28,19 +28,20 @@
   consensus::Snapshot snapshot;
 };
 
-/// What was read so far; of use even if reading ends with an error.
+/// Contents of a data folder. Holds what was read up to the failure if readFolder() throws.
 struct FolderContents {
   std::optional<SegmentHeader> header;
   std::vector<SegmentContents> segments;
-  std::optional<SnapshotContents> snapshot;  ///< the newest
+  std::optional<SnapshotContents> snapshot;  ///< the most recent one
   consensus::HardState hard_state;
-  std::deque<wire::LogEntry> entries;  ///< following the snapshot once reading is complete
-  std::uint64_t last_frame = 0;
-  LogIndex marked;  ///< last index of the latest snapshot that a segment names
+  std::deque<wire::LogEntry> entries;  ///< once readFolder() has returned: the entries after the snapshot
+  std::uint64_t last_frame = 0;        ///< number of the last valid frame; 0: none
+  LogIndex marked;                     ///< last index of the latest SnapshotMark in the segments; 0: none
 };
 
-/// Reads the whole folder. Throws CorruptRecord for a damaged or missing part that isn't a torn tail, and
-/// WrongDataFolder for another format. A torn tail shows as valid_bytes < bytes of the last segment.
+/// Reads the whole folder. Throws CorruptRecord if any part other than a torn tail is damaged or missing, and
+/// WrongDataFolder for an unsupported format. A torn tail is reported as valid_bytes < bytes of the last
+/// segment.
 void readFolder(FileSystem& files, FolderContents& contents);
 
 }  // namespace ferryrock::storage
--- a/src/storage/frame.cc
+++ b/src/storage/frame.cc
@@ -33,7 +33,7 @@
   return stableHash(payload, number ^ (payload.size() * kSizeFactor));
 }
 
-/// The frame at offset if it is sound.
+/// The frame at offset; nullopt if it is incomplete or its checksum does not match.
 std::optional<Frame> frameAt(std::string_view bytes, std::size_t offset) {
   const std::string_view rest = bytes.substr(offset);
   if (rest.size() < kFrameHeaderBytes || rest.substr(0, kMagic.size()) != kMagic) {
@@ -66,7 +66,7 @@
 std::string encodeFrame(std::uint64_t number, std::string_view payload) {
   if (payload.size() > std::numeric_limits<std::uint32_t>::max()) {
     throw Error(ResultCode::StorageFailed,
-                "a record of " + std::to_string(payload.size()) + " bytes is too large");
+                "a record of " + std::to_string(payload.size()) + " bytes exceeds the limit of 4 GiB - 1");
   }
   std::string bytes;
   bytes.reserve(kFrameHeaderBytes + payload.size());
--- a/src/storage/log_records.h
+++ b/src/storage/log_records.h
@@ -9,10 +9,10 @@
 #include "consensus/quorum_log.h"
 #include "wire/fields.h"
 
-/// What the frames of a segment hold.
+/// Records stored in the frames of a segment.
 namespace ferryrock::storage {
 
-/// Raised when an older process couldn't read the folder.
+/// Must be increased with each change that older versions of the program cannot read.
 inline constexpr std::uint32_t kStorageFormat = 1;
 
 /// First record of each segment.
@@ -23,20 +23,20 @@
   FERRYROCK_FIELDS(SegmentHeader, format, member, segment)
 };
 
-/// Entries from this index on are dropped.
+/// All entries from this index on are dropped from the log.
 struct TruncateRecord {
   LogIndex from;
   FERRYROCK_FIELDS(TruncateRecord, from)
 };
 
-/// A snapshot up to last_index is synced; it replaces the entries up to there.
+/// A snapshot up to last_index is synced and replaces the entries up to last_index.
 struct SnapshotMark {
   LogIndex last_index;
   Term last_term;
   FERRYROCK_FIELDS(SnapshotMark, last_index, last_term)
 };
 
-/// New alternatives go to the end: the index is the type number on disk.
+/// New alternatives must be appended at the end: the variant index is the type number on disk.
 using Record =
     std::variant<SegmentHeader, consensus::HardState, wire::LogEntry, TruncateRecord, SnapshotMark>;
 using Records = std::vector<Record>;
@@ -48,13 +48,13 @@
 /// Throws MalformedMessage.
 consensus::Snapshot decodeSnapshot(std::string_view bytes);
 
-/// "segment-" and the number, padded so that names sort by number.
+/// "segment-" and the number, zero-padded to 20 digits so that names sort by number.
 std::string segmentName(std::uint64_t number);
-/// "snapshot-" and the last index, padded likewise.
+/// "snapshot-" and the last index, zero-padded in the same way.
 std::string snapshotName(LogIndex last_index);
 bool isSegmentName(std::string_view name);
 bool isSnapshotName(std::string_view name);
-/// A snapshot that wasn't finished.
+/// True for a snapshot that was not written completely.
 bool isTemporaryName(std::string_view name);
 std::string temporaryName(const std::string& name);
 
--- a/src/storage/log_storage.cc
+++ b/src/storage/log_storage.cc
@@ -30,10 +30,10 @@
   };
 
   void checkMember(const FolderContents& contents) const;
-  /// How far one call of persist() has come.
+  /// Progress of one call of persist().
   struct Progress {
-    std::size_t recorded = 0;  ///< writes whose records are synced
-    std::size_t finished = 0;  ///< writes whose snapshot is too, if they have one
+    std::size_t recorded = 0;  ///< number of writes whose records are synced
+    std::size_t finished = 0;  ///< number of writes whose records and snapshot, if any, are synced
   };
 
   static std::uint64_t forgetTornTail(FolderContents& contents);
@@ -50,13 +50,13 @@
   std::unique_ptr<FileSystem> files_;
   MemberId member_;
   std::uint64_t maximum_segment_bytes_;
-  bool usable_ = false;       ///< recovered, and no write has failed since the folder was mended
-  bool recovered_ = false;    ///< what the folder holds is known
-  bool segment_due_ = false;  ///< the next write goes to a new segment
+  bool usable_ = false;       ///< recovered, and no write has failed since recovery or the last repair
+  bool recovered_ = false;    ///< recover() has read the folder
+  bool segment_due_ = false;  ///< the next write must go to a new segment
   std::vector<consensus::PersistEffect> unwritten_;
   consensus::HardState hard_state_;
   std::optional<SnapshotMark> snapshot_;
-  std::vector<Segment> segments_;  ///< oldest first; the last one is written to
+  std::vector<Segment> segments_;  ///< oldest first; writes go to the last one
   std::uint64_t segment_bytes_ = 0;
   std::uint64_t last_frame_ = 0;
 };
@@ -93,7 +93,8 @@
     removeObsolete();
     usable_ = true;
   } catch (const Error& fault) {
-    // What was read holds; persist() tells that the disk takes no writes.
+    // The recovered state is valid although the disk is full. usable_ stays false, so persist() reports the
+    // error.
     if (fault.code() != ResultCode::DiskFull) {
       throw;
     }
@@ -110,8 +111,8 @@
   }
 }
 
-/// How many bytes don't count. A last segment without a whole header goes entirely: not even the header was
-/// synced, so nothing that was promised is in it.
+/// Returns the number of bytes in the torn tail. Drops a last segment without a complete header: its header
+/// was never synced, so it holds nothing that was acknowledged.
 std::uint64_t LogStorageImpl::forgetTornTail(FolderContents& contents) {
   if (contents.segments.empty()) {
     return 0;
@@ -123,7 +124,7 @@
   return last.bytes - last.valid_bytes;
 }
 
-/// Drops what lies behind the last frame that is known to be synced.
+/// Drops everything after the last frame that is known to be synced, including a segment begun after it.
 void LogStorageImpl::cutCurrentSegment() {
   const std::string next = segmentName(segments_.empty() ? 1 : segments_.back().number + 1);
   if (files_->exists(next)) {
@@ -138,7 +139,7 @@
 
 void LogStorageImpl::mend() {
   if (!recovered_) {
-    throw Error(ResultCode::StorageFailed, "the log isn't recovered");
+    throw Error(ResultCode::StorageFailed, "the log is not recovered yet");
   }
   cutCurrentSegment();
   if (segment_due_) {
@@ -151,7 +152,7 @@
 void LogStorageImpl::persist(const std::vector<consensus::PersistEffect>& writes) {
   if (!usable_) {
     unwritten_.insert(unwritten_.end(), writes.begin(), writes.end());
-    throw Error(ResultCode::StorageFailed, "the log isn't recovered, or an earlier write failed");
+    throw Error(ResultCode::StorageFailed, "the log is not recovered yet, or an earlier write failed");
   }
   usable_ = false;
   unwritten_.clear();
@@ -266,7 +267,7 @@
   const LogIndex covered = snapshot_ ? snapshot_->last_index : LogIndex{};
   while (segments_.size() > 1 && segments_.front().highest_index <= covered) {
     files_->remove(segmentName(segments_.front().number));
-    files_->syncFolder();  // so that no later segment vanishes before this one
+    files_->syncFolder();  // a later removal must not become durable before this one
     segments_.erase(segments_.begin());
   }
   const std::string kept = snapshot_ ? snapshotName(snapshot_->last_index) : std::string();
--- a/src/storage/log_storage.h
+++ b/src/storage/log_storage.h
@@ -9,8 +9,9 @@
 
 namespace ferryrock::storage {
 
-/// The operations on files that storage needs; the simulator supplies a disk that loses what wasn't synced.
-/// Paths are relative to the data folder. Every member throws Error DiskFull, SyncFailed or StorageFailed.
+/// File operations used by the storage. The simulator provides an implementation that loses unsynced data.
+/// Paths are relative to the data folder. Every function may throw Error with DiskFull, SyncFailed or
+/// StorageFailed.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
@@ -22,34 +23,38 @@
   virtual void sync(const std::string& path) = 0;
   virtual void rename(const std::string& from, const std::string& to) = 0;
   virtual void remove(const std::string& path) = 0;
-  /// Makes creations, renames and removals last.
+  /// Makes the creations, renames and removals so far durable.
   virtual void syncFolder() = 0;
 };
 
-/// Files under one data folder, locked against a second process. Throws DataFolderLocked.
+/// Files in one data folder, which is created if missing and locked against other processes. Throws
+/// DataFolderLocked if another process holds the lock.
 std::unique_ptr<FileSystem> createPosixFileSystem(const std::string& data_folder);
 
-/// Log segments, hard state and snapshots of one member, with checksums. Used by one thread (the writer).
-/// A torn tail is cut at recovery; a damaged record that others follow is refused with CorruptRecord.
+/// Checksummed storage of the log segments, hard state and snapshots of one member. Not thread-safe; used by
+/// the writer thread. Recovery truncates a torn tail and rejects a damaged record that is followed by others
+/// with CorruptRecord.
 class LogStorage {
  public:
   virtual ~LogStorage() = default;
-  /// Throws CorruptRecord or WrongDataFolder (another member's folder). A disk that is full or refuses writes
-  /// doesn't stop it: persist() throws until mend() has returned.
+  /// Reads the folder and prepares it for writes. Throws CorruptRecord, WrongDataFolder (the folder of
+  /// another member, or an unsupported format), SyncFailed or StorageFailed. A full disk is no error here:
+  /// persist() then throws until the folder is repaired.
   virtual consensus::RecoveredState recover() = 0;
-  /// Writes all effects and syncs once (group commit); a snapshot among them takes syncs of its own.
-  /// After an error nothing more is written: each further call throws StorageFailed until mend() has
-  /// returned. recover() comes first.
+  /// Writes all effects with a single sync (group commit); each snapshot among them needs additional syncs.
+  /// After an error, every further call throws StorageFailed without writing until the folder is repaired.
+  /// recover() must be called first.
   virtual void persist(const std::vector<consensus::PersistEffect>& writes) = 0;
-  /// After an error of persist(): cuts the folder back to what is known to be on disk, since a write or a
-  /// sync that failed says nothing of what it left there. Throws what the disk refuses; it may be called
-  /// again.
+  /// Repairs the folder after an error of persist(): truncates the folder to the state known to be synced,
+  /// because it is unknown what a failed write or sync has left on disk. Throws if the disk still rejects
+  /// writes or syncs; the call can be repeated.
   virtual void mend() = 0;
-  /// What of the writes since the last persist() that returned isn't known to be on disk, in order.
+  /// Writes, or parts of them, passed to persist() since its last success that are not known to be on disk,
+  /// in order. After a repair, the caller passes them to persist() again.
   virtual std::vector<consensus::PersistEffect> unwritten() const = 0;
 };
 
-/// A new segment is begun once the current one has this size.
+/// A new segment is started once the current one reaches this size.
 inline constexpr std::uint64_t kDefaultSegmentBytes = 16 << 20;
 
 std::unique_ptr<LogStorage> createLogStorage(std::unique_ptr<FileSystem> files, MemberId member,
--- a/src/storage/memory_file_system.cc
+++ b/src/storage/memory_file_system.cc
@@ -10,7 +10,7 @@
 struct MemoryDisk::File {
   std::string current;
   std::string durable;
-  bool only_appended = true;  ///< since the last sync: durable is a prefix of current
+  bool only_appended = true;  ///< durable is a prefix of current
 };
 
 class MemoryFileSystem : public FileSystem {
@@ -43,7 +43,7 @@
     }
     file(path).current += fitting;
     if (fitting.size() < bytes.size()) {
-      throw Error(ResultCode::DiskFull, "writing failed: the disk is full", path);
+      throw Error(ResultCode::DiskFull, "writing failed: the simulated disk is full", path);
     }
   }
 
@@ -57,7 +57,7 @@
   void sync(const std::string& path) override {
     disk_.countOperation();
     if (disk_.syncs_fail_) {
-      throw Error(ResultCode::SyncFailed, "syncing failed", path);
+      throw Error(ResultCode::SyncFailed, "syncing failed: simulated fault", path);
     }
     MemoryDisk::File& synced = file(path);
     if (synced.only_appended) {
@@ -84,7 +84,7 @@
   void syncFolder() override {
     disk_.countOperation();
     if (disk_.syncs_fail_) {
-      throw Error(ResultCode::SyncFailed, "syncing the folder failed");
+      throw Error(ResultCode::SyncFailed, "syncing the folder failed: simulated fault");
     }
     disk_.pending_.clear();
     disk_.durable_names_ = disk_.names_;
@@ -95,7 +95,7 @@
   MemoryDisk::File& file(const std::string& path) {
     const auto found = disk_.names_.find(path);
     if (found == disk_.names_.end()) {
-      throw Error(ResultCode::StorageFailed, "there is no such file", path);
+      throw Error(ResultCode::StorageFailed, "the file does not exist", path);
     }
     return *found->second;
   }
--- a/src/storage/memory_file_system.h
+++ b/src/storage/memory_file_system.h
@@ -11,20 +11,20 @@
 #include "common/random.h"
 #include "storage/log_storage.h"
 
-/// A disk in memory for tests and the simulator: it loses what wasn't synced, tears writes, fills up and
-/// fails.
+/// In-memory disk for tests and the simulator, with injected faults: loss of unsynced data, torn writes, a
+/// full disk and failing syncs.
 namespace ferryrock::storage {
 
-/// Thrown by a MemoryDisk's file system at the operation where a crash was asked for.
+/// Thrown by the file system of a MemoryDisk from the operation selected by crashAfter() on.
 class DiskCrashed : public std::runtime_error {
  public:
   DiskCrashed() : std::runtime_error("the simulated machine stopped during a file operation") {}
 };
 
-/// Outlives the file systems opened on it, as a disk outlives processes. Not thread-safe.
+/// Must outlive the file systems opened on it, as a disk outlives processes. Not thread-safe.
 class MemoryDisk {
  public:
-  /// The seed decides what of the unsynced part survives a crash.
+  /// The seed determines which unsynced data survives a crash.
   explicit MemoryDisk(std::uint64_t seed);
   ~MemoryDisk();
   MemoryDisk(const MemoryDisk&) = delete;
@@ -33,18 +33,20 @@
   /// Throws DataFolderLocked while another file system is open on this disk.
   std::unique_ptr<FileSystem> open();
 
-  /// Power is lost: unsynced names are lost from some point on; of unsynced bytes a part may remain, and the
-  /// end of that part may be damaged. Call after the open file system was destroyed.
+  /// Simulates a power loss. Of the unsynced creations, renames and removals, a random prefix survives; of
+  /// unsynced appended bytes, a random prefix whose end may be zeroed. A file truncated since its last sync
+  /// keeps either its new or its last synced contents. To be called after the open file system is destroyed.
   void crash();
-  /// All data is lost, as on a new disk.
+  /// Loses all data, as when the disk is replaced by a new one.
   void wipe();
-  /// The n-th next changing operation (0: the next one) throws DiskCrashed, as do all after it, until
-  /// crash().
+  /// Lets `operations` more modifying operations succeed (0: none); all later ones throw DiskCrashed until
+  /// crash() is called.
   void crashAfter(std::uint64_t operations);
-  /// Appends fail with DiskFull, half done, once all files together have this size; none: no limit.
+  /// An append that would take the total size of all files above the limit writes half of its bytes and
+  /// throws DiskFull; nullopt: no limit.
   void setCapacity(std::optional<std::uint64_t> bytes);
   void setSyncsFail(bool fail);
-  /// Flips one bit of a file, synced.
+  /// Flips one bit of the byte at offset `byte`, durably.
   void damage(const std::string& path, std::uint64_t byte);
 
   std::uint64_t syncs() const { return syncs_; }
@@ -55,7 +57,7 @@
   friend class MemoryFileSystem;
   struct File;
   using Names = std::map<std::string, std::shared_ptr<File>>;
-  /// A change of the folder that isn't synced; an empty target removes the name.
+  /// An unsynced change of a name in the folder; a null target removes the name.
   struct NameChange {
     std::string name;
     std::shared_ptr<File> target;
--- a/src/storage/posix_file_system.cc
+++ b/src/storage/posix_file_system.cc
@@ -19,7 +19,7 @@
 constexpr const char* kLockName = "lock";
 constexpr mode_t kFileMode = 0640;
 
-/// An open file; closed with the object.
+/// Owns a file descriptor and closes it on destruction.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -164,7 +164,8 @@
     }
   }
 
-  /// The file stays open, so that a failed sync is reported to the descriptor that wrote.
+  /// Opens the file for appending on first use and keeps it open, so that a failed write-back is reported to
+  /// the descriptor that wrote.
   int writable(const std::string& path) {
     auto found = open_files_.find(path);
     if (found == open_files_.end()) {
--- a/tests/storage/crash_point_test.cc
+++ b/tests/storage/crash_point_test.cc
@@ -11,10 +11,10 @@
 struct CrashRow {
   const char* name;
   std::vector<Writes> before;    ///< synced
-  Writes interrupted;            ///< the machine stops at each of its file operations in turn
-  std::vector<std::string> may;  ///< the states that may be recovered: of before, ..., of all
-  Writes after;                  ///< written after the recovery if the last of `may` was recovered
-  std::string at_end;            ///< what is recovered then
+  Writes interrupted;            ///< the crash is injected at each file operation of this write in turn
+  std::vector<std::string> may;  ///< valid recovered states: none to all of `interrupted`
+  Writes after;                  ///< written after recovery if the last valid state was recovered
+  std::string at_end;            ///< state recovered after `after` was written
 };
 
 std::vector<CrashRow> crashRows() {
@@ -38,7 +38,7 @@
        {"term 1 vote 0 1/1 2/1 3/1 4/1", "term 1 vote 0 1/1 2/1 3/2"},
        {make.entries(4, 4, 2)},
        "term 1 vote 0 1/1 2/1 3/2 4/2"},
-      {"segment roll",
+      {"segment rollover",
        {{make.hardState(3, 2)}, {make.entries(1, 10)}},
        {make.entries(11, 20)},
        {"term 3 vote 2 1/1 2/1 3/1 4/1 5/1 6/1 7/1 8/1 9/1 10/1",
@@ -59,13 +59,13 @@
        {"term 2 vote 1 snapshot 2 3/1 4/1 5/1 6/1", "term 2 vote 1 snapshot 5 6/1"},
        {make.entries(7, 7)},
        "term 2 vote 1 snapshot 5 6/1 7/1"},
-      {"a leader's snapshot from beyond the log's end",
+      {"snapshot from the leader past the end of the log",
        {{make.hardState(2, 1)}, {make.entries(1, 3)}},
        {make.snapshot(9, 2)},
        {"term 2 vote 1 1/1 2/1 3/1", "term 2 vote 1 snapshot 9"},
        {make.entries(10, 10, 2)},
        "term 2 vote 1 snapshot 9 10/2"},
-      {"a leader's snapshot that the log parts from",
+      {"snapshot from the leader that conflicts with the log",
        {{make.hardState(2, 1)}, {make.entries(1, 8)}},
        {make.snapshot(6, 2)},
        {"term 2 vote 1 1/1 2/1 3/1 4/1 5/1 6/1 7/1 8/1", "term 2 vote 1 snapshot 6"},
@@ -74,7 +74,8 @@
   };
 }
 
-/// Runs the row on a disk that stops at the given operation of the interrupted write; true if it did.
+/// Runs the row with a crash at the given file operation of the interrupted write; returns false if the write
+/// finished before that operation.
 bool crashAt(const CrashRow& row, std::uint64_t operation, std::uint64_t seed) {
   MemoryDisk disk(seed);
   bool crashed = false;
@@ -109,7 +110,7 @@
   return crashed;
 }
 
-TEST_CASE("recovery after a stop at each file operation of a write") {
+TEST_CASE("a crash at any file operation of a write leaves a state before or after it") {
   constexpr std::uint64_t kSeeds = 20;
   for (const CrashRow& row : crashRows()) {
     INFO(row.name);
--- a/tests/storage/file_system_contract_test.cc
+++ b/tests/storage/file_system_contract_test.cc
@@ -22,18 +22,18 @@
 
 const std::vector<ContractRow> kContract{
     {"an empty folder lists nothing", [](FileSystem& files) { return files.list().empty(); }},
-    {"append makes the file and goes on at its end",
+    {"append creates the file and appends at its end",
      [](FileSystem& files) {
        files.append("a", "one");
        files.append("a", "two");
        return files.read("a") == "onetwo" && files.exists("a");
      }},
-    {"an empty append makes an empty file",
+    {"an empty append creates an empty file",
      [](FileSystem& files) {
        files.append("a", "");
        return files.exists("a") && files.read("a").empty();
      }},
-    {"truncate cuts, and append goes on behind the cut",
+    {"append after truncate continues at the new end",
      [](FileSystem& files) {
        files.append("a", "abcdef");
        files.truncate("a", 2);
@@ -48,7 +48,7 @@
        files.append("b", "er");
        return sortedNames(files) == std::vector<std::string>{"b"} && files.read("b") == "newer";
      }},
-    {"remove forgets the bytes",
+    {"remove discards the contents",
      [](FileSystem& files) {
        files.append("a", "old");
        files.remove("a");
@@ -56,15 +56,15 @@
        files.append("a", "new");
        return gone && files.read("a") == "new";
      }},
-    {"reading what isn't there is refused",
+    {"reading a missing file fails",
      [](FileSystem& files) { return faultOf([&files] { files.read("a"); }) == ResultCode::StorageFailed; }},
-    {"removing what isn't there is refused",
+    {"removing a missing file fails",
      [](FileSystem& files) { return faultOf([&files] { files.remove("a"); }) == ResultCode::StorageFailed; }},
-    {"renaming what isn't there is refused",
+    {"renaming a missing file fails",
      [](FileSystem& files) {
        return faultOf([&files] { files.rename("a", "b"); }) == ResultCode::StorageFailed;
      }},
-    {"bytes of every value survive",
+    {"all byte values are preserved",
      [](FileSystem& files) {
        std::string bytes;
        for (int value = 0; value < 256; ++value) {
@@ -77,7 +77,7 @@
      }},
 };
 
-TEST_CASE("both file systems keep one contract") {
+TEST_CASE("both file systems fulfil the same contract") {
   const FolderKind kind = GENERATE(FolderKind::Memory, FolderKind::Posix);
   for (const ContractRow& row : kContract) {
     INFO(row.name << ", " << (kind == FolderKind::Memory ? "memory" : "posix"));
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_CASE("a folder is used by one file system at a time and keeps its files") {
+TEST_CASE("a folder is locked by one file system at a time and keeps its files") {
   const auto folder = makeFolder(GENERATE(FolderKind::Memory, FolderKind::Posix));
   auto files = folder->open();
   files->append("a", "kept");
@@ -98,7 +98,7 @@
   CHECK(folder->read("a") == "kept");
 }
 
-TEST_CASE("a data folder that doesn't exist is made, a file in its place is refused") {
+TEST_CASE("a missing data folder is created, a file in its place is rejected") {
   const PosixFolder parent;
   const std::string nested = parent.path() + "/deep/data";
   createPosixFileSystem(nested)->append("a", "x");
--- a/tests/storage/folders.cc
+++ b/tests/storage/folders.cc
@@ -19,7 +19,7 @@
 PosixFolder::PosixFolder() {
   path_ = (std::filesystem::temp_directory_path() / "ferryrock-storage-XXXXXX").string();
   if (::mkdtemp(path_.data()) == nullptr) {
-    throw std::runtime_error("no temporary folder could be made");
+    throw std::runtime_error("mkdtemp failed: cannot create a temporary folder");
   }
 }
 
--- a/tests/storage/folders.h
+++ b/tests/storage/folders.h
@@ -8,12 +8,12 @@
 
 namespace ferryrock::storage {
 
-/// A data folder that outlives the file systems opened on it; the same tests run on each kind.
+/// A data folder that outlives the file systems opened on it, so that the same tests run on each kind.
 class Folder {
  public:
   virtual ~Folder() = default;
   virtual std::unique_ptr<FileSystem> open() = 0;
-  /// Replaces a file's bytes, synced.
+  /// Replaces the contents of a file and syncs.
   void write(const std::string& path, std::string_view bytes);
   std::string read(const std::string& path) { return open()->read(path); }
 };
@@ -26,7 +26,7 @@
   MemoryDisk disk_{1};
 };
 
-/// A folder of its own under the system's folder for temporary files; removed with the object.
+/// A new folder in the system's temporary directory; removed on destruction.
 class PosixFolder : public Folder {
  public:
   PosixFolder();
--- a/tests/storage/log_storage_property_test.cc
+++ b/tests/storage/log_storage_property_test.cc
@@ -8,11 +8,11 @@
 namespace ferryrock::storage {
 namespace {
 
-/// What a log must hold, as the simplest program would keep it.
+/// Reference model: the expected contents of the log.
 struct Oracle {
   std::uint64_t term = 0;
   std::uint64_t snapshot = 0;
-  std::vector<wire::LogEntry> entries;  ///< following the snapshot
+  std::vector<wire::LogEntry> entries;  ///< entries after the snapshot
 
   std::uint64_t last() const { return snapshot + entries.size(); }
 
@@ -46,7 +46,7 @@
   }
 };
 
-/// The storage, and the machine that it runs on.
+/// A storage and the simulated machine that it runs on.
 struct Machine {
   explicit Machine(std::uint64_t seed) : disk(seed) { start(); }
   void start() {
@@ -66,7 +66,7 @@
 
 using Writes = std::vector<consensus::PersistEffect>;
 
-/// Draws writes as a member makes them: they follow from what the log holds.
+/// Generates writes that are valid for a member whose log is in the given state.
 Writes drawWrites(Oracle state) {
   Writes writes;
   const int count = *rc::gen::inRange(1, 4);
@@ -101,11 +101,11 @@
   return writes;
 }
 
-/// The states that a crash during the writes may leave, from none of them to all.
+/// The states that a crash during the writes may leave, from none of the writes to all of them.
 std::vector<Oracle> possibleStates(const Oracle& before, const Writes& writes) {
   std::vector<Oracle> states{before};
   for (const auto& write : writes) {
-    // A write with a snapshot is made in two steps: its other parts are synced first.
+    // A write with a snapshot is not atomic: its other parts are synced before the snapshot.
     consensus::PersistEffect without_snapshot = write;
     without_snapshot.snapshot.reset();
     states.push_back(states.back());
@@ -118,7 +118,7 @@
   return states;
 }
 
-/// Writes reach the disk; then, perhaps, the machine stops.
+/// Persists writes completely, then crashes in half of the cases and checks the recovered state.
 void persistAll(Oracle& state, Machine& machine) {
   const Writes writes = drawWrites(state);
   machine.storage->persist(writes);
@@ -132,8 +132,8 @@
   }
 }
 
-/// The machine stops at some operation of a write, and perhaps again while it recovers; it goes on from what
-/// it recovers then.
+/// Crashes at a random operation of a write, possibly again during recovery, and continues from the state
+/// that is recovered then.
 void crashDuringPersist(Oracle& state, Machine& machine) {
   const Writes writes = drawWrites(state);
   machine.disk.crashAfter(static_cast<std::uint64_t>(*rc::gen::inRange(0, 12)));
@@ -157,7 +157,7 @@
   state = *found;
 }
 
-TEST_CASE("the log holds what a simple list holds, with a crash at any operation") {
+TEST_CASE("the recovered log matches the reference model after a crash at any operation") {
   const bool holds = rc::check([](std::uint64_t seed) {
     Machine machine(seed);
     Oracle state;
--- a/tests/storage/log_storage_test.cc
+++ b/tests/storage/log_storage_test.cc
@@ -10,7 +10,7 @@
 namespace ferryrock::storage {
 namespace {
 
-/// Two segments and a snapshot: hard state, entries 1..6, a snapshot of 4, entries 7 and 8.
+/// Writes two segments and a snapshot: hard state, entries 1..6, a snapshot up to entry 4, entries 7 and 8.
 void fill(Folder& folder) {
   WriteBuilder make;
   const auto storage = createLogStorage(folder.open(), kMember, kSmallSegment);
@@ -25,7 +25,7 @@
 constexpr const char* kAll = "term 2 vote 1 snapshot 4 5/1 6/1 7/1 8/1";
 constexpr const char* kWithoutLast = "term 2 vote 1 snapshot 4 5/1 6/1 7/1";
 
-/// Entries 9 to 11, each in a segment of its own.
+/// Writes entries 9 to 11, each to a separate segment.
 void writeOneEntryPerSegment(Folder& folder) {
   WriteBuilder make;
   const auto storage = createLogStorage(folder.open(), kMember, 1);
@@ -47,9 +47,9 @@
 struct FaultRow {
   const char* name;
   std::function<void(Folder&)> damage;
-  ResultCode fault;           ///< of the recovery
-  const char* recovered;      ///< if fault is Ok
-  const char* sentence = "";  ///< part of the error
+  ResultCode fault;           ///< thrown by recover(); Ok: none
+  const char* recovered;      ///< expected state if fault is Ok
+  const char* sentence = "";  ///< expected part of the error message
 };
 
 const std::vector<FaultRow> kFaults{
@@ -66,32 +66,32 @@
        folder.write(segmentName(2), flipped(bytes, bytes.size() - 1));
      },
      ResultCode::Ok, kWithoutLast},
-    {"torn tail: zeros behind the last frame",
+    {"torn tail: zeros after the last frame",
      [](Folder& folder) {
        folder.write(segmentName(2), folder.read(segmentName(2)) + std::string(100, '\0'));
      },
      ResultCode::Ok, kAll},
-    {"torn tail: a next segment without a whole header",
+    {"torn tail: a next segment without a complete header",
      [](Folder& folder) { folder.write(segmentName(3), "FRF1"); }, ResultCode::Ok, kAll},
     {"a byte of an earlier frame flipped",
      [](Folder& folder) {
        const std::string bytes = folder.read(segmentName(2));
        folder.write(segmentName(2), flipped(bytes, scanOf(bytes).frames.at(1).offset + kFrameHeaderBytes));
      },
-     ResultCode::CorruptRecord, "", "followed by a sound one"},
+     ResultCode::CorruptRecord, "", "followed by a valid one"},
     {"the size of an earlier frame flipped",
      [](Folder& folder) {
        const std::string bytes = folder.read(segmentName(2));
        folder.write(segmentName(2), flipped(bytes, scanOf(bytes).frames.at(1).offset + 4));
      },
-     ResultCode::CorruptRecord, "", "followed by a sound one"},
+     ResultCode::CorruptRecord, "", "followed by a valid one"},
     {"the last frame of an earlier segment is missing",
      [](Folder& folder) {
        const std::string bytes = folder.read(segmentName(1));
        folder.write(segmentName(1), bytes.substr(0, bytes.size() - 1));
      },
      ResultCode::CorruptRecord, "", "followed by another segment"},
-    {"a frame of the middle is cut out",
+    {"a frame in the middle is missing",
      [](Folder& folder) {
        const std::string bytes = folder.read(segmentName(2));
        const FrameScan scan = scanOf(bytes);
@@ -99,7 +99,7 @@
        folder.write(segmentName(2), bytes.substr(0, scan.frames.at(1).offset) + rest);
      },
      ResultCode::CorruptRecord, "", "follows record"},
-    {"a segment of the middle is missing",
+    {"a segment in the middle is missing",
      [](Folder& folder) {
        writeOneEntryPerSegment(folder);
        folder.open()->remove(segmentName(3));
@@ -110,21 +110,21 @@
        const std::string name = snapshotName(LogIndex{4});
        folder.write(name, flipped(folder.read(name), 60));
      },
-     ResultCode::CorruptRecord, "", "fails its checksum"},
+     ResultCode::CorruptRecord, "", "checksum does not match"},
     {"the snapshot is missing", [](Folder& folder) { folder.open()->remove(snapshotName(LogIndex{4})); },
      ResultCode::CorruptRecord, "", "snapshot"},
-    {"the snapshot has another's name",
+    {"the snapshot has the name of another one",
      [](Folder& folder) { folder.open()->rename(snapshotName(LogIndex{4}), snapshotName(LogIndex{5})); },
      ResultCode::CorruptRecord, "", "another index"},
     {"a snapshot is half written",
      [](Folder& folder) { folder.write(temporaryName(snapshotName(LogIndex{6})), "half"); }, ResultCode::Ok,
      kAll},
-    {"a segment has another's name",
+    {"a segment has the name of another one",
      [](Folder& folder) { folder.open()->rename(segmentName(2), segmentName(4)); }, ResultCode::CorruptRecord,
      "", "another segment"},
-    {"a segment's name is no number", [](Folder& folder) { folder.write("segment-x", "x"); },
+    {"a segment's name has no number", [](Folder& folder) { folder.write("segment-x", "x"); },
      ResultCode::CorruptRecord, "", "name"},
-    {"a foreign file is left alone", [](Folder& folder) { folder.write("notes", "x"); }, ResultCode::Ok,
+    {"an unrelated file is ignored", [](Folder& folder) { folder.write("notes", "x"); }, ResultCode::Ok,
      kAll},
     {"a segment without a header",
      [](Folder& folder) {
@@ -132,13 +132,13 @@
        folder.write(segmentName(3), encodeFrame(next_frame, encodeRecords({entryOf(9, 1)})));
      },
      ResultCode::CorruptRecord, "", "begin with its header"},
-    {"a sound frame that holds no records",
+    {"a valid frame without decodable records",
      [](Folder& folder) {
        const std::uint64_t next_frame = scanOf(folder.read(segmentName(2))).frames.back().number + 1;
        folder.write(segmentName(3), encodeFrame(next_frame, "x"));
      },
-     ResultCode::CorruptRecord, "", "can't be read"},
-    {"another format",
+     ResultCode::CorruptRecord, "", "cannot be decoded"},
+    {"an unsupported format",
      [](Folder& folder) {
        const Records header{SegmentHeader{kStorageFormat + 1, kMember, 3}};
        const std::uint64_t next_frame = scanOf(folder.read(segmentName(2))).frames.back().number + 1;
@@ -156,7 +156,7 @@
   return "";
 }
 
-TEST_CASE("recovery cuts a torn tail and refuses any other damage") {
+TEST_CASE("recovery truncates a torn tail and rejects any other damage") {
   const FolderKind kind = GENERATE(FolderKind::Memory, FolderKind::Posix);
   for (const FaultRow& row : kFaults) {
     INFO(row.name << ", " << (kind == FolderKind::Memory ? "memory" : "posix"));
@@ -174,7 +174,7 @@
   }
 }
 
-TEST_CASE("another member's folder is refused") {
+TEST_CASE("the folder of another member is rejected") {
   const auto folder = makeFolder(GENERATE(FolderKind::Memory, FolderKind::Posix));
   fill(*folder);
   const auto recover = [&] { createLogStorage(folder->open(), MemberId{8})->recover(); };
@@ -182,7 +182,7 @@
   CHECK_THAT(sentenceOf(recover), Catch::Contains("member 7") && Catch::Contains("member 8"));
 }
 
-TEST_CASE("each bit flipped before the last frame is refused, none is skipped") {
+TEST_CASE("a flipped bit before the last frame is rejected, not skipped as a torn tail") {
   MemoryFolder folder;
   fill(folder);
   const std::string bytes = folder.read(segmentName(2));
@@ -194,7 +194,7 @@
   }
 }
 
-TEST_CASE("a tail cut at each byte of the last frame is recovered without that frame") {
+TEST_CASE("a last frame truncated at any byte is dropped at recovery") {
   MemoryFolder folder;
   fill(folder);
   const std::string bytes = folder.read(segmentName(2));
@@ -210,7 +210,7 @@
   ResultCode fault;
 };
 
-TEST_CASE("a failed write stops the storage for good, and what was synced stays") {
+TEST_CASE("a failed write blocks further writes and keeps the synced data") {
   const std::vector<WriteFaultRow> rows{
       {"disk full", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes() + 10); }, ResultCode::DiskFull},
       {"failed sync", [](MemoryDisk& disk) { disk.setSyncsFail(true); }, ResultCode::SyncFailed},
@@ -236,7 +236,7 @@
   }
 }
 
-TEST_CASE("nothing is written before recovery") {
+TEST_CASE("writes before recovery are rejected") {
   MemoryDisk disk(1);
   WriteBuilder make;
   const auto storage = createLogStorage(disk.open(), kMember, kSmallSegment);
@@ -244,7 +244,7 @@
   CHECK(disk.bytes() == 0);
 }
 
-TEST_CASE("one group commit takes one sync, and snapshots bound the folder") {
+TEST_CASE("a group commit needs one sync, and snapshots bound the size of the folder") {
   MemoryDisk disk(1);
   WriteBuilder make;
   const auto storage = createLogStorage(disk.open(), kMember, kDefaultSegmentBytes);
--- a/tests/storage/mend_test.cc
+++ b/tests/storage/mend_test.cc
@@ -5,7 +5,7 @@
 
 #include "storage_fixture.h"
 
-/// A folder whose disk was full or refused syncs for a while, and what is written after that.
+/// Recovery from temporary write failures: a full disk or failing syncs.
 namespace ferryrock::storage {
 namespace {
 
@@ -15,9 +15,9 @@
 };
 
 const std::vector<TroubleRow> kTroubles{
-    {"no room at all", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes()); }},
-    {"room for a part of the record", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes() + 10); }},
-    {"room for the record, not for what follows",
+    {"no space left", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes()); }},
+    {"space for a part of the record", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes() + 10); }},
+    {"space for the record, but not for what follows",
      [](MemoryDisk& disk) { disk.setCapacity(disk.bytes() + 90); }},
     {"syncs fail", [](MemoryDisk& disk) { disk.setSyncsFail(true); }},
 };
@@ -25,7 +25,7 @@
 struct WritesRow {
   const char* name;
   std::function<std::vector<consensus::PersistEffect>(WriteBuilder&)> make;
-  const char* recovered;  ///< ends so
+  const char* recovered;  ///< expected end of the description of the recovered state
 };
 
 const std::vector<WritesRow> kWrites{
@@ -51,14 +51,14 @@
   disk.setSyncsFail(false);
 }
 
-/// Mends and writes what is left until all is written.
+/// Repairs the folder and persists the unwritten writes.
 void writeRest(LogStorage& storage) {
   const std::vector<consensus::PersistEffect> rest = storage.unwritten();
   storage.mend();
   storage.persist(rest);
 }
 
-TEST_CASE("what a full or faulty disk refused is written once the disk takes it") {
+TEST_CASE("writes rejected by a full or faulty disk are written once it accepts them") {
   for (const TroubleRow& trouble : kTroubles) {
     for (const WritesRow& writes : kWrites) {
       INFO(trouble.name << ", " << writes.name);
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("a folder is mended only once the disk takes writes, and stays as it was until then") {
+TEST_CASE("a repair fails without data loss until the disk accepts writes") {
   MemoryDisk disk(1);
   WriteBuilder make;
   {
@@ -105,7 +105,7 @@
   CHECK(kept);
 }
 
-TEST_CASE("a full disk doesn't keep a member from reading its folder") {
+TEST_CASE("a full disk does not prevent recovery of the folder") {
   MemoryDisk disk(1);
   WriteBuilder make;
   {
@@ -126,7 +126,7 @@
   CHECK(describe(recoverFrom(disk.open())) == "term 4 vote 2 1/1 2/1 3/1 4/1");
 }
 
-TEST_CASE("a member on an empty disk without room waits for it") {
+TEST_CASE("a member on an empty disk without space starts and can write once there is space") {
   MemoryDisk disk(1);
   WriteBuilder make;
   disk.setCapacity(0);
@@ -142,9 +142,9 @@
   CHECK(describe(recoverFrom(disk.open())) == "term 0 vote 0 1/1");
 }
 
-/// Trouble comes and goes at random; a crash at the end keeps all that was acknowledged, and nothing is
-/// damaged.
-TEST_CASE("nothing acknowledged is lost, however often the disk is full or refuses syncs") {
+/// Random disk faults come and go. After a final crash, the folder must be readable and hold everything that
+/// was acknowledged.
+TEST_CASE("acknowledged writes survive repeated disk-full and sync failures") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
     MemoryDisk disk(seed);
--- a/tests/storage/needed_syncs_test.cc
+++ b/tests/storage/needed_syncs_test.cc
@@ -6,10 +6,10 @@
 namespace ferryrock::storage {
 namespace {
 
-/// Which synchronizations a defective file system leaves out.
+/// The kind of sync that a defective file system omits.
 enum class Skipped { None, SegmentSync, SnapshotSync, FolderSync };
 
-/// Passes everything on but the synchronizations that are skipped.
+/// Forwards all operations except the syncs of one kind.
 class ForgetfulFileSystem : public FileSystem {
  public:
   ForgetfulFileSystem(std::unique_ptr<FileSystem> files, Skipped skipped)
@@ -39,7 +39,7 @@
   Skipped skipped_;
 };
 
-/// True if everything that was written is there after a crash; false if it is lost or refused.
+/// True if everything that was written is recovered after a crash; false if data is lost or recovery fails.
 bool survivesCrash(Skipped skipped, std::uint64_t seed) {
   MemoryDisk disk(seed);
   WriteBuilder make;
@@ -58,7 +58,7 @@
   return fault == ResultCode::Ok && recovered == "term 2 vote 1 snapshot 4 5/1 6/1 7/1";
 }
 
-TEST_CASE("each kind of sync is needed: leaving one out loses what was promised") {
+TEST_CASE("each kind of sync is needed: without it a crash loses acknowledged writes") {
   constexpr std::uint64_t kSeeds = 50;
   for (const Skipped skipped :
        {Skipped::None, Skipped::SegmentSync, Skipped::SnapshotSync, Skipped::FolderSync}) {
--- a/tests/storage/storage_fixture.h
+++ b/tests/storage/storage_fixture.h
@@ -16,13 +16,13 @@
 inline constexpr MemberId kMember{7};
 inline constexpr std::uint64_t kSmallSegment = 600;
 
-/// Writes of one member, numbered as QuorumLog numbers them.
+/// Builds the writes of one member, with sequence numbers as QuorumLog assigns them.
 class WriteBuilder {
  public:
   consensus::PersistEffect hardState(std::uint64_t term, std::uint64_t voted_for = 0);
-  /// Entries first..last of one term.
+  /// Appends entries first..last, all of one term.
   consensus::PersistEffect entries(std::uint64_t first, std::uint64_t last, std::uint64_t term = 1);
-  /// Entries first..last replace everything from first on.
+  /// Truncates the log from `first` on, then appends entries first..last.
   consensus::PersistEffect replacement(std::uint64_t first, std::uint64_t last, std::uint64_t term);
   consensus::PersistEffect snapshot(std::uint64_t last_index, std::uint64_t last_term = 1,
                                     std::size_t state_bytes = 100);
@@ -34,13 +34,13 @@
 
 wire::LogEntry entryOf(std::uint64_t index, std::uint64_t term);
 
-/// What a recovery gave, short enough to compare: "term 2 vote 3 snapshot 5 entries 6/2 7/2".
+/// Compact text of a recovered state, index/term per entry: "term 2 vote 3 snapshot 5 6/2 7/2".
 std::string describe(const consensus::RecoveredState& recovered);
 
-/// Opens the storage on a file system, recovers, and returns what it held.
+/// Opens a storage on the file system and returns the recovered state.
 consensus::RecoveredState recoverFrom(std::unique_ptr<FileSystem> files);
 
-/// Code of the error that the action throws; Ok if it throws none.
+/// Code of the Error that the action throws; Ok if it throws none.
 ResultCode faultOf(const std::function<void()>& action);
 
 }  // namespace ferryrock::storage
