--- a/src/consensus/leadership.h
+++ b/src/consensus/leadership.h
@@ -14,7 +14,7 @@
 /// round was sent.
 struct HeartbeatRound {
   std::uint64_t number = 0;
-  TimePoint sent;
+  TimePoint sent_at;
 };
 
 /// A linearizable read that waits until leadership is confirmed and its read index is committed.
@@ -25,26 +25,26 @@
 };
 
 /// A leadership transfer in progress.
-struct Transfer {
+struct LeadershipTransfer {
   MemberId target;
-  TimePoint give_up;          ///< the transfer is abandoned then, and proposals are accepted again
+  TimePoint deadline;         ///< the transfer is abandoned then, and proposals are accepted again
   bool timeout_sent = false;  ///< TimeoutNow was sent to the target
 };
 
 /// Leader-only volatile state.
 struct Leadership {
-  TimePoint since;
-  LogIndex opening_index;  ///< first entry of this term, appended on election
+  TimePoint elected_at;
+  LogIndex term_start_index;  ///< first entry of this term, appended on election
   TimePoint heartbeat_due;
   std::map<MemberId, Progress> peers;
   std::uint64_t round = 0;
   std::deque<HeartbeatRound> rounds;  ///< the most recent rounds, oldest first
   std::deque<PendingRead> reads;      ///< ordered by round
-  std::optional<Transfer> transfer;
+  std::optional<LeadershipTransfer> transfer;
   bool lease_forfeited = false;  ///< TimeoutNow was sent in this term: the target's election ignores leases
 
   /// Send time of the round; nullopt if the round is no longer retained or was never sent.
-  std::optional<TimePoint> roundSent(std::uint64_t number) const;
+  std::optional<TimePoint> roundSentAt(std::uint64_t number) const;
   void beginRound(TimePoint now);
 };
 
--- a/src/consensus/progress.cc
+++ b/src/consensus/progress.cc
@@ -8,7 +8,7 @@
 void Progress::probe(LogIndex from) {
   state = State::Probe;
   next = std::max(from, match.next());
-  awaiting_since.reset();
+  awaiting_response_since.reset();
   inflight.clear();
   snapshot.reset();
 }
@@ -25,11 +25,11 @@
   state = State::Snapshot;
   snapshot = std::move(to_send);
   snapshot_offset = 0;
-  awaiting_since.reset();
+  awaiting_response_since.reset();
   inflight.clear();
 }
 
-void Progress::replaceDisk(DiskId new_disk, LogIndex last_index) {
+void Progress::resetForNewDisk(DiskId new_disk, LogIndex last_index) {
   *this = Progress{};
   disk = new_disk;
   next = last_index.next();
--- a/src/consensus/quorum_log_election.cc
+++ b/src/consensus/quorum_log_election.cc
@@ -20,11 +20,11 @@
 }
 
 void QuorumLogImpl::resetElectionDeadline() {
-  const bool first = settings_.elect_at_start && !knew_leader_;
-  const Duration shortest = first ? settings_.first_election_min : settings_.election_timeout_min;
-  const Duration longest = first ? settings_.first_election_max : settings_.election_timeout_max;
-  const auto extra = random_->below(static_cast<std::uint64_t>((longest - shortest).count()) + 1);
-  election_deadline_ = now_ + shortest + Duration(extra);
+  const bool first = settings_.elect_at_start && !has_seen_leader_;
+  const Duration min_timeout = first ? settings_.first_election_min : settings_.election_timeout_min;
+  const Duration max_timeout = first ? settings_.first_election_max : settings_.election_timeout_max;
+  const auto extra = random_->below(static_cast<std::uint64_t>((max_timeout - min_timeout).count()) + 1);
+  election_deadline_ = now_ + min_timeout + Duration(extra);
 }
 
 void QuorumLogImpl::beginElection(bool pre_vote, bool leadership_transfer) {
@@ -81,21 +81,21 @@
 }
 
 void QuorumLogImpl::becomeLeader() {
-  const wire::Membership membership = openingMembership();
+  const wire::Membership membership = membershipWithVoterDisks();
   candidacy_.reset();
   role_ = Role::Leader;
-  knew_leader_ = true;
+  has_seen_leader_ = true;
   leader_ = settings_.node;
   leadership_.emplace();
-  leadership_->since = now_;
+  leadership_->elected_at = now_;
   syncPeers();
   appendEntry(wire::EntryKind::MembershipChange, wire::encodeMembership(membership));
-  leadership_->opening_index = log_.lastIndex();
+  leadership_->term_start_index = log_.lastIndex();
   broadcastHeartbeat();
   replicate();
 }
 
-wire::Membership QuorumLogImpl::openingMembership() const {
+wire::Membership QuorumLogImpl::membershipWithVoterDisks() const {
   wire::Membership membership = memberships_.latest();
   for (wire::Member& member : membership.members) {
     if (member.voter && member.disk == DiskId{}) {
@@ -121,8 +121,8 @@
     return false;
   }
   if (leadership_) {
-    const std::optional<TimePoint> contact = quorumContact(now_);
-    return contact && now_ < *contact + settings_.election_timeout_min;
+    const std::optional<TimePoint> last_contact = quorumContact(now_);
+    return last_contact && now_ < *last_contact + settings_.election_timeout_min;
   }
   return now_ < leader_contact_ + settings_.election_timeout_min;
 }
@@ -139,9 +139,10 @@
   if (request.term > hard_state_.term) {
     becomeFollower(request.term, NodeName{});
   }
-  const bool vote_is_free = hard_state_.voted_for == MemberId{} || hard_state_.voted_for == request.candidate;
+  const bool can_vote_for_candidate =
+      hard_state_.voted_for == MemberId{} || hard_state_.voted_for == request.candidate;
   wire::VoteResponse response{hard_state_.term, settings_.id, false, false, hard_state_.disk};
-  response.granted = request.term == hard_state_.term && vote_is_free && logIsUpToDate(request);
+  response.granted = request.term == hard_state_.term && can_vote_for_candidate && logIsUpToDate(request);
   if (response.granted) {
     if (hard_state_.voted_for != request.candidate) {
       hard_state_.voted_for = request.candidate;
--- a/src/consensus/quorum_log_follower.cc
+++ b/src/consensus/quorum_log_follower.cc
@@ -29,7 +29,7 @@
     becomeFollower(term, from);
   }
   leader_contact_ = now_;
-  knew_leader_ = true;
+  has_seen_leader_ = true;
   resetElectionDeadline();
   return true;
 }
@@ -38,10 +38,10 @@
   if (!isWellFormed(request)) {
     return;
   }
-  const bool followed = acceptLeader(from, request.term);
+  const bool leader_accepted = acceptLeader(from, request.term);
   wire::AppendResponse response{hard_state_.term, settings_.id,          false,
                                 LogIndex{},       request.read_sequence, hard_state_.disk};
-  if (!followed) {
+  if (!leader_accepted) {
     response.read_sequence = 0;
     send(from, response);
     return;
@@ -52,8 +52,8 @@
   } else {
     storeEntries(request.entries);
     const LogIndex matched{request.previous_index.value + request.entries.size()};
-    const LogIndex comparable = settings_.defects.commit_beyond_match ? log_.lastIndex() : matched;
-    commitThrough(std::min(request.commit, comparable));
+    const LogIndex commit_limit = settings_.defects.commit_beyond_match ? log_.lastIndex() : matched;
+    commitThrough(std::min(request.commit, commit_limit));
     response.match = matched;
   }
   if (response.accepted && !request.entries.empty()) {
@@ -141,7 +141,7 @@
     memberships_.reset(snapshot.last_index, snapshot.membership);
   }
   committed_ = snapshot.last_index;
-  snapshot_asked_ = snapshot.last_index;
+  requested_snapshot_index_ = snapshot.last_index;
   write().snapshot = snapshot;
   snapshot_ = std::make_shared<const Snapshot>(snapshot);
   effects_.emplace_back(RestoreEffect{std::move(snapshot)});
--- a/src/consensus/quorum_log_impl.cc
+++ b/src/consensus/quorum_log_impl.cc
@@ -50,7 +50,7 @@
       memberships_(baseIndex(recovered), baseMembership(settings_, recovered)),
       writes_(log_.lastIndex()),
       committed_(baseIndex(recovered)),
-      snapshot_asked_(baseIndex(recovered)),
+      requested_snapshot_index_(baseIndex(recovered)),
       now_(now),
       leader_contact_(now) {
   for (LogIndex index = log_.baseIndex().next(); index <= log_.lastIndex(); index = index.next()) {
@@ -99,7 +99,7 @@
 }
 
 TimePoint QuorumLogImpl::nextDeadline() const {
-  if (starting_) {
+  if (awaiting_first_call_) {
     return now_;
   }
   if (leadership_) {
@@ -137,7 +137,7 @@
     Snapshot snapshot{applied, *log_.termAt(applied), memberships_.at(applied), std::move(state)};
     write().snapshot = snapshot;
     snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
-    snapshot_asked_ = applied;
+    requested_snapshot_index_ = applied;
     if (applied.value > settings_.retained_entries) {
       log_.dropThrough(LogIndex{applied.value - settings_.retained_entries});
       memberships_.dropBefore(log_.baseIndex());
@@ -148,22 +148,22 @@
 
 void QuorumLogImpl::begin(TimePoint now) {
   now_ = std::max(now_, now);
-  if (starting_) {
-    starting_ = false;
-    drawDiskIdentity();
+  if (awaiting_first_call_) {
+    awaiting_first_call_ = false;
+    ensureDiskIdentity();
     if (snapshot_) {
       effects_.emplace_back(RestoreEffect{*snapshot_});
     }
   }
-  if (leadership_ && isQuorumSilent(now_)) {
+  if (leadership_ && hasLostQuorumContact(now_)) {
     becomeFollower(hard_state_.term, NodeName{});
   }
 }
 
 Effects QuorumLogImpl::finish() {
-  if (write_) {
+  if (current_write_) {
     writes_.add(log_.lastIndex());
-    effects_.emplace_back(*std::exchange(write_, std::nullopt));
+    effects_.emplace_back(*std::exchange(current_write_, std::nullopt));
   }
   reportRole();
   return std::exchange(effects_, {});
@@ -173,20 +173,21 @@
   if (!leadership_ && !candidacy_) {
     role_ = isVoter() ? Role::Follower : Role::Learner;
   }
-  const bool known = reported_ && reported_->role == role_ && reported_->term == hard_state_.term &&
-                     reported_->leader == leader_;
-  if (!known) {
-    reported_ = RoleEffect{role_, hard_state_.term, leader_};
-    effects_.emplace_back(*reported_);
+  const bool unchanged = last_reported_role_ && last_reported_role_->role == role_ &&
+                         last_reported_role_->term == hard_state_.term &&
+                         last_reported_role_->leader == leader_;
+  if (!unchanged) {
+    last_reported_role_ = RoleEffect{role_, hard_state_.term, leader_};
+    effects_.emplace_back(*last_reported_role_);
   }
 }
 
 PersistEffect& QuorumLogImpl::write() {
-  if (!write_) {
-    write_.emplace();
-    write_->sequence = writes_.nextSequence();
+  if (!current_write_) {
+    current_write_.emplace();
+    current_write_->sequence = writes_.nextSequence();
   }
-  return *write_;
+  return *current_write_;
 }
 
 void QuorumLogImpl::persistHardState() {
@@ -194,7 +195,7 @@
   hard_state_write_ = write().sequence;
 }
 
-void QuorumLogImpl::drawDiskIdentity() {
+void QuorumLogImpl::ensureDiskIdentity() {
   if (hard_state_.disk == DiskId{}) {
     while (hard_state_.disk == DiskId{}) {
       hard_state_.disk = DiskId{random_->next()};
@@ -208,7 +209,7 @@
 }
 
 void QuorumLogImpl::sendOnceSynced(const NodeName& to, wire::Message message) {
-  const std::uint64_t sequence = write_ ? write_->sequence : writes_.lastIssued();
+  const std::uint64_t sequence = current_write_ ? current_write_->sequence : writes_.lastIssued();
   if (writes_.synced(sequence) || settings_.defects.answer_before_sync) {
     send(to, std::move(message));
   } else {
@@ -250,8 +251,8 @@
 }
 
 void QuorumLogImpl::requestSnapshot() {
-  if (committed_.value - snapshot_asked_.value >= settings_.snapshot_after_entries) {
-    snapshot_asked_ = committed_;
+  if (committed_.value - requested_snapshot_index_.value >= settings_.snapshot_after_entries) {
+    requested_snapshot_index_ = committed_;
     effects_.emplace_back(SnapshotWantedEffect{committed_});
   }
 }
--- a/src/consensus/quorum_log_impl.h
+++ b/src/consensus/quorum_log_impl.h
@@ -64,7 +64,7 @@
   /// The write of the current call; created on first use and returned as an effect by finish().
   PersistEffect& write();
   void persistHardState();
-  void drawDiskIdentity();
+  void ensureDiskIdentity();
   void send(const NodeName& to, wire::Message message);
   /// Sends the message once all writes so far are synced, or drops it if the term has changed by then.
   void sendOnceSynced(const NodeName& to, wire::Message message);
@@ -84,7 +84,7 @@
   void beginElection(bool pre_vote, bool leadership_transfer);
   void countVotes();
   void becomeLeader();
-  wire::Membership openingMembership() const;
+  wire::Membership membershipWithVoterDisks() const;
   bool logIsUpToDate(const wire::VoteRequest& request) const;
   bool hearsLeader() const;
   void onVoteRequest(const NodeName& from, const wire::VoteRequest& request);
@@ -110,10 +110,10 @@
   void sendBatch(MemberId member, Progress& progress);
   void sendSnapshotChunk(MemberId member, Progress& progress);
   wire::AppendRequest appendRequest(LogIndex previous, Term previous_term) const;
-  void noteContact(Progress& progress, std::uint64_t round);
+  void recordContact(Progress& progress, std::uint64_t round);
   void onAppendResponse(const wire::AppendResponse& response);
-  void onAcceptance(Progress& progress, LogIndex match);
-  void onRefusal(Progress& progress, LogIndex hint);
+  void onAppendAccepted(Progress& progress, LogIndex match);
+  void onAppendRejected(Progress& progress, LogIndex hint);
   void onSnapshotResponse(const wire::SnapshotResponse& response);
   Progress* progressOf(MemberId member, DiskId disk);
   void advanceCommit();
@@ -121,7 +121,7 @@
   bool isAwaiting(const Progress& progress) const;
   /// Send time of the latest heartbeat round acknowledged by a quorum; nullopt if there is none.
   std::optional<TimePoint> quorumContact(TimePoint now) const;
-  bool isQuorumSilent(TimePoint now) const;
+  bool hasLostQuorumContact(TimePoint now) const;
   void tickLeader();
   NodeName nodeOf(MemberId member) const;
 
@@ -131,7 +131,7 @@
   std::uint64_t quorumRound() const;
 
   // quorum_log_members.cc
-  ResultCode membershipChangeFault() const;
+  ResultCode checkMembershipChange() const;
   Proposal proposeMembership(const wire::Membership& membership);
   Proposal refuse(ResultCode code);
   bool isCaughtUp(const Progress& progress) const;
@@ -152,19 +152,19 @@
   Role role_ = Role::Follower;
   NodeName leader_;
   LogIndex committed_;
-  LogIndex snapshot_asked_;
+  LogIndex requested_snapshot_index_;
   TimePoint now_;             ///< time passed to the current call; never goes back
   TimePoint leader_contact_;  ///< no vote is granted for election_timeout_min after this time
   TimePoint election_deadline_;
-  bool knew_leader_ = false;  ///< a leader was known since the process start
+  bool has_seen_leader_ = false;  ///< a leader was known since the process start
   std::uint64_t hard_state_write_ = 0;
   std::optional<Candidacy> candidacy_;
   std::optional<Leadership> leadership_;
 
-  Effects effects_;                     ///< of the current call
-  std::optional<PersistEffect> write_;  ///< of the current call
-  std::optional<RoleEffect> reported_;
-  bool starting_ = true;  ///< no entry point has been called since the start
+  Effects effects_;                             ///< of the current call
+  std::optional<PersistEffect> current_write_;  ///< of the current call
+  std::optional<RoleEffect> last_reported_role_;
+  bool awaiting_first_call_ = true;  ///< no entry point has been called since the start
 };
 
 }  // namespace ferryrock::consensus
--- a/src/consensus/quorum_log_leader.cc
+++ b/src/consensus/quorum_log_leader.cc
@@ -80,7 +80,8 @@
 }
 
 bool QuorumLogImpl::isAwaiting(const Progress& progress) const {
-  return progress.awaiting_since && now_ < *progress.awaiting_since + settings_.election_timeout_min;
+  return progress.awaiting_response_since &&
+         now_ < *progress.awaiting_response_since + settings_.election_timeout_min;
 }
 
 void QuorumLogImpl::sendBatch(MemberId member, Progress& progress) {
@@ -98,7 +99,7 @@
     progress.next = last.next();
     progress.inflight.push_back(last);
   } else {
-    progress.awaiting_since = now_;
+    progress.awaiting_response_since = now_;
   }
   send(nodeOf(member), std::move(request));
 }
@@ -110,7 +111,7 @@
                             snapshot.membership,   progress.snapshot_offset,
                             snapshot.bytes.size(), {}};
   chunk.bytes = snapshot.bytes.substr(progress.snapshot_offset, settings_.snapshot_chunk_bytes);
-  progress.awaiting_since = now_;
+  progress.awaiting_response_since = now_;
   send(nodeOf(member), std::move(chunk));
 }
 
@@ -132,19 +133,19 @@
   }
   Progress& progress = found->second;
   if (progress.disk != DiskId{} && progress.disk != disk) {
-    progress.replaceDisk(disk, log_.lastIndex());
+    progress.resetForNewDisk(disk, log_.lastIndex());
   }
   progress.disk = disk;
   return &progress;
 }
 
-void QuorumLogImpl::noteContact(Progress& progress, std::uint64_t round) {
-  const std::optional<TimePoint> sent = leadership_->roundSent(round);
-  if (!sent) {
+void QuorumLogImpl::recordContact(Progress& progress, std::uint64_t round) {
+  const std::optional<TimePoint> sent_at = leadership_->roundSentAt(round);
+  if (!sent_at) {
     return;
   }
   progress.acknowledged_round = std::max(progress.acknowledged_round, round);
-  progress.contact = std::max(progress.contact.value_or(*sent), *sent);
+  progress.last_contact = std::max(progress.last_contact.value_or(*sent_at), *sent_at);
 }
 
 void QuorumLogImpl::onAppendResponse(const wire::AppendResponse& response) {
@@ -159,11 +160,11 @@
   if (progress == nullptr) {
     return;
   }
-  noteContact(*progress, response.read_sequence);
+  recordContact(*progress, response.read_sequence);
   if (response.accepted) {
-    onAcceptance(*progress, response.match);
+    onAppendAccepted(*progress, response.match);
   } else {
-    onRefusal(*progress, response.match);
+    onAppendRejected(*progress, response.match);
   }
   answerReads();
   if (leadership_) {
@@ -171,13 +172,13 @@
   }
 }
 
-void QuorumLogImpl::onAcceptance(Progress& progress, LogIndex match) {
+void QuorumLogImpl::onAppendAccepted(Progress& progress, LogIndex match) {
   progress.acknowledge(match);
-  const bool snapshot_done =
+  const bool snapshot_installed =
       progress.state == Progress::State::Snapshot && match >= progress.snapshot->last_index;
-  if (progress.state == Progress::State::Probe || snapshot_done) {
+  if (progress.state == Progress::State::Probe || snapshot_installed) {
     progress.state = Progress::State::Replicate;
-    progress.awaiting_since.reset();
+    progress.awaiting_response_since.reset();
     progress.snapshot.reset();
   }
   advanceCommit();
@@ -186,13 +187,13 @@
   }
 }
 
-void QuorumLogImpl::onRefusal(Progress& progress, LogIndex hint) {
+void QuorumLogImpl::onAppendRejected(Progress& progress, LogIndex hint) {
   if (progress.state == Progress::State::Snapshot) {
     return;
   }
   const LogIndex from = std::max(std::min(hint.next(), progress.next), progress.match.next());
-  const bool tells_nothing_new = progress.state == Progress::State::Probe && from == progress.next;
-  if (tells_nothing_new) {
+  const bool next_unchanged = progress.state == Progress::State::Probe && from == progress.next;
+  if (next_unchanged) {
     return;  // sending a batch for each would multiply duplicated messages
   }
   progress.probe(from);
@@ -220,7 +221,7 @@
   } else if (response.next_offset != progress->snapshot_offset &&
              response.next_offset <= progress->snapshot->bytes.size()) {
     progress->snapshot_offset = response.next_offset;
-    progress->awaiting_since.reset();
+    progress->awaiting_response_since.reset();
   }
   if (leadership_) {
     replicate();
@@ -269,35 +270,36 @@
   }
   for (const auto& [member, progress] : leadership_->peers) {
     if (countsAsVoter(member, progress.disk)) {
-      contacts.push_back(progress.contact);
+      contacts.push_back(progress.last_contact);
     }
   }
   return reachedByQuorum(std::move(contacts), commitQuorum(memberships_.latest()));
 }
 
-bool QuorumLogImpl::isQuorumSilent(TimePoint now) const {
-  const TimePoint contact = std::max(quorumContact(now).value_or(leadership_->since), leadership_->since);
-  return now >= contact + settings_.election_timeout_max;
+bool QuorumLogImpl::hasLostQuorumContact(TimePoint now) const {
+  const TimePoint last_contact =
+      std::max(quorumContact(now).value_or(leadership_->elected_at), leadership_->elected_at);
+  return now >= last_contact + settings_.election_timeout_max;
 }
 
 bool QuorumLogImpl::hasLease(TimePoint now) const {
   if (!leadership_ || leadership_->lease_forfeited || log_.termAt(committed_) != hard_state_.term) {
     return false;
   }
-  const std::optional<TimePoint> contact = quorumContact(now);
-  return contact && now < *contact + settings_.election_timeout_min - settings_.lease_drift_margin;
+  const std::optional<TimePoint> last_contact = quorumContact(now);
+  return last_contact && now < *last_contact + settings_.election_timeout_min - settings_.lease_drift_margin;
 }
 
 std::optional<TimePoint> QuorumLogImpl::followedAt(TimePoint now) const {
-  const bool opened = leadership_ && log_.termAt(committed_) == hard_state_.term;
-  return opened ? quorumContact(now) : std::nullopt;
+  const bool term_start_committed = leadership_ && log_.termAt(committed_) == hard_state_.term;
+  return term_start_committed ? quorumContact(now) : std::nullopt;
 }
 
 void QuorumLogImpl::tickLeader() {
   if (now_ < leadership_->heartbeat_due) {
     return;
   }
-  if (leadership_->transfer && now_ >= leadership_->transfer->give_up) {
+  if (leadership_->transfer && now_ >= leadership_->transfer->deadline) {
     leadership_->transfer.reset();
   }
   broadcastHeartbeat();
--- a/src/consensus/quorum_log_members.cc
+++ b/src/consensus/quorum_log_members.cc
@@ -7,7 +7,7 @@
 
 Proposal QuorumLogImpl::addLearner(const wire::Member& member, TimePoint now) {
   begin(now);
-  const ResultCode fault = membershipChangeFault();
+  const ResultCode fault = checkMembershipChange();
   if (fault != ResultCode::Ok) {
     return refuse(fault);
   }
@@ -25,7 +25,7 @@
 
 Proposal QuorumLogImpl::promote(MemberId member, TimePoint now) {
   begin(now);
-  const ResultCode fault = membershipChangeFault();
+  const ResultCode fault = checkMembershipChange();
   if (fault != ResultCode::Ok) {
     return refuse(fault);
   }
@@ -47,7 +47,7 @@
 
 Proposal QuorumLogImpl::remove(MemberId member, TimePoint now) {
   begin(now);
-  const ResultCode fault = membershipChangeFault();
+  const ResultCode fault = checkMembershipChange();
   if (fault != ResultCode::Ok) {
     return refuse(fault);
   }
@@ -70,14 +70,14 @@
   return finish();
 }
 
-ResultCode QuorumLogImpl::membershipChangeFault() const {
+ResultCode QuorumLogImpl::checkMembershipChange() const {
   if (!leadership_ || leadership_->transfer) {
     return ResultCode::NotLeader;
   }
-  const bool earlier_change_open = memberships_.latestIndex() > committed_;
-  const bool term_not_opened = log_.termAt(committed_) != hard_state_.term;
+  const bool earlier_change_uncommitted = memberships_.latestIndex() > committed_;
+  const bool term_start_uncommitted = log_.termAt(committed_) != hard_state_.term;
   const bool must_wait =
-      (earlier_change_open || term_not_opened) && !settings_.defects.overlapping_member_changes;
+      (earlier_change_uncommitted || term_start_uncommitted) && !settings_.defects.overlapping_member_changes;
   return must_wait ? ResultCode::MembershipChangeInProgress : ResultCode::Ok;
 }
 
@@ -94,18 +94,21 @@
 
 bool QuorumLogImpl::isCaughtUp(const Progress& progress) const {
   constexpr std::uint64_t kCatchUpEntries = 100;
-  const bool near_end =
+  const bool near_commit_index =
       progress.match.value + kCatchUpEntries >= committed_.value && progress.match > LogIndex{};
-  const bool heard = progress.contact && now_ < *progress.contact + settings_.election_timeout_max;
-  return near_end && heard && progress.disk != DiskId{};
+  const bool recently_contacted =
+      progress.last_contact && now_ < *progress.last_contact + settings_.election_timeout_max;
+  return near_commit_index && recently_contacted && progress.disk != DiskId{};
 }
 
 std::optional<MemberId> QuorumLogImpl::mostAdvancedVoter() const {
   std::optional<MemberId> best;
   LogIndex best_match;
   for (const auto& [member, progress] : leadership_->peers) {
-    const bool heard = progress.contact && now_ < *progress.contact + settings_.election_timeout_max;
-    if (heard && countsAsVoter(member, progress.disk) && (!best || progress.match > best_match)) {
+    const bool recently_contacted =
+        progress.last_contact && now_ < *progress.last_contact + settings_.election_timeout_max;
+    if (recently_contacted && countsAsVoter(member, progress.disk) &&
+        (!best || progress.match > best_match)) {
       best = member;
       best_match = progress.match;
     }
@@ -116,7 +119,7 @@
 void QuorumLogImpl::beginTransfer() {
   const std::optional<MemberId> target = mostAdvancedVoter();
   if (target) {
-    leadership_->transfer = Transfer{*target, now_ + settings_.election_timeout_max, false};
+    leadership_->transfer = LeadershipTransfer{*target, now_ + settings_.election_timeout_max, false};
     progressTransfer();
   }
 }
@@ -125,7 +128,7 @@
   if (!leadership_->transfer || leadership_->transfer->timeout_sent) {
     return;
   }
-  Transfer& transfer = *leadership_->transfer;
+  LeadershipTransfer& transfer = *leadership_->transfer;
   const auto target = leadership_->peers.find(transfer.target);
   if (target == leadership_->peers.end()) {
     leadership_->transfer.reset();
--- a/src/consensus/quorum_log_reads.cc
+++ b/src/consensus/quorum_log_reads.cc
@@ -15,10 +15,10 @@
     return finish();
   }
   // Which entries earlier leaders committed is known only once the first entry of this term is committed.
-  const LogIndex index = std::max(committed_, leadership_->opening_index);
-  const bool round_is_out = !leadership_->reads.empty();
+  const LogIndex index = std::max(committed_, leadership_->term_start_index);
+  const bool round_in_flight = !leadership_->reads.empty();
   leadership_->reads.push_back({read_id, leadership_->round + 1, index});
-  if (!round_is_out) {
+  if (!round_in_flight) {
     broadcastHeartbeat();
   }
   answerReads();
@@ -35,8 +35,8 @@
     effects_.emplace_back(ReadReadyEffect{reads.front().read_id, reads.front().index, true});
     reads.pop_front();
   }
-  const bool next_round_wanted = !reads.empty() && reads.front().round > leadership_->round;
-  if (next_round_wanted) {
+  const bool next_round_needed = !reads.empty() && reads.front().round > leadership_->round;
+  if (next_round_needed) {
     broadcastHeartbeat();
   }
 }
--- a/tests/consensus/cell_harness.cc
+++ b/tests/consensus/cell_harness.cc
@@ -80,9 +80,9 @@
   }
   if (lose_unsynced && !member.unsynced.empty()) {
     // The process crashes in the middle of a write.
-    constexpr std::uint64_t kMaximumOperations = 8;
+    constexpr std::uint64_t kMaxOperations = 8;
     const bool during_sync = random_.chance(0.5);
-    member.disk->crashAfter(during_sync ? 1 : random_.below(kMaximumOperations));
+    member.disk->crashAfter(during_sync ? 1 : random_.below(kMaxOperations));
     try {
       member.storage->persist(member.unsynced);
     } catch (const storage::DiskCrashed&) {
@@ -94,7 +94,7 @@
   member.unsynced.clear();
   member.sync_running = false;
   member.paused = false;
-  member.held.clear();
+  member.deferred_actions.clear();
   ++member.incarnation;
   const std::uint64_t torn_before = member.disk->tornWrites();
   member.disk->crash();
@@ -115,8 +115,8 @@
 
 void CellHarness::resume(SimulatedMember& member) {
   member.paused = false;
-  const auto held = std::exchange(member.held, {});
-  for (const auto& action : held) {
+  const auto deferred_actions = std::exchange(member.deferred_actions, {});
+  for (const auto& action : deferred_actions) {
     action();
   }
 }
@@ -173,7 +173,8 @@
     return;
   }
   if (member.paused) {
-    member.held.push_back([this, &member, incarnation, action] { onMember(member, incarnation, action); });
+    member.deferred_actions.push_back(
+        [this, &member, incarnation, action] { onMember(member, incarnation, action); });
     return;
   }
   action();
@@ -243,8 +244,8 @@
 void CellHarness::apply(SimulatedMember& member, const ApplyEffect& effect) {
   for (const wire::LogEntry& entry : effect.entries) {
     if (entry.index != member.applied.next()) {
-      throw InvariantBroken("apply order: entry " + std::to_string(entry.index.value) + " follows entry " +
-                            std::to_string(member.applied.value));
+      throw InvariantViolation("apply order: entry " + std::to_string(entry.index.value) + " follows entry " +
+                               std::to_string(member.applied.value));
     }
     member.digest = oracle_.onApply(member.id, member.log->term(), entry, member.digest);
     member.applied = entry.index;
@@ -256,7 +257,7 @@
   member.digest = std::stoull(bytes.substr(0, bytes.find(':')));
   member.applied = effect.snapshot.last_index;
   if (bytes != stateBytes(member.digest, member.applied)) {
-    throw InvariantBroken("snapshot: the restored bytes differ from those of the snapshot that was taken");
+    throw InvariantViolation("snapshot: the restored bytes differ from those of the snapshot that was taken");
   }
   oracle_.onRestore(member.id, member.applied, member.digest);
   ++counts_.snapshots_installed;
@@ -268,7 +269,7 @@
   }
   member.sync_running = true;
   const std::uint64_t incarnation = member.incarnation;
-  at(between(random_, kSyncMin, settings_.longest_sync),
+  at(between(random_, kSyncMin, settings_.max_sync_delay),
      [this, &member, incarnation] { endSync(member, incarnation); });
 }
 
--- a/tests/consensus/cell_harness.h
+++ b/tests/consensus/cell_harness.h
@@ -48,7 +48,7 @@
   std::size_t retained_entries = 5;
   std::uint64_t segment_bytes = 4096;
   std::size_t max_batch_bytes = 2000;
-  Duration longest_sync = std::chrono::milliseconds(20);
+  Duration max_sync_delay = std::chrono::milliseconds(20);
   double clock_drift = 0.02;  ///< clock rates lie between 1 - drift and 1 + drift
 };
 
@@ -66,7 +66,7 @@
   double clock_rate = 1;
   Duration clock_offset{};
   bool paused = false;
-  std::vector<std::function<void()>> held;  ///< events deferred while the process is paused
+  std::vector<std::function<void()>> deferred_actions;  ///< events deferred while the process is paused
   LogIndex applied;
   std::uint64_t digest = 0;
 };
--- a/tests/consensus/cell_oracle.h
+++ b/tests/consensus/cell_oracle.h
@@ -12,12 +12,12 @@
 namespace ferryrock::consensus {
 
 /// An invariant was violated; the message names the invariant and the member, term or entry.
-class InvariantBroken : public std::runtime_error {
+class InvariantViolation : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// History of all entries committed by any member. The on... functions throw InvariantBroken.
+/// History of all entries committed by any member. The on... functions throw InvariantViolation.
 class CellOracle {
  public:
   /// Election safety: at most one leader per term. Leader completeness: the leader's log contains every entry
@@ -29,7 +29,7 @@
                         std::uint64_t digest_before);
   void onRestore(MemberId member, LogIndex index, std::uint64_t digest) const;
   /// Linearizability: the state read includes every entry committed before the read was requested.
-  void onRead(MemberId member, LogIndex applied, LogIndex committed_when_asked) const;
+  void onRead(MemberId member, LogIndex applied, LogIndex committed_at_request) const;
   /// Lease safety: no entry of a later term is committed while a member holds a lease.
   void onLease(MemberId member, Term term) const;
 
@@ -39,7 +39,7 @@
  private:
   struct Committed {
     wire::LogEntry entry;
-    Term committed_in;  ///< lowest term in which a member is known to have applied the entry
+    Term min_commit_term;  ///< lowest term in which a member is known to have applied the entry
     std::uint64_t digest = 0;
   };
   std::map<Term, MemberId> leaders_;
--- a/tests/consensus/fault_schedule.cc
+++ b/tests/consensus/fault_schedule.cc
@@ -24,7 +24,7 @@
   settings.retained_entries = random.below(20);
   settings.segment_bytes = 500 + random.below(8000);
   settings.max_batch_bytes = random.chance(0.5) ? 2000 : 1 + random.below(60);
-  settings.longest_sync = milliseconds(random.chance(0.7) ? 20 : 300);
+  settings.max_sync_delay = milliseconds(random.chance(0.7) ? 20 : 300);
   return settings;
 }
 
@@ -48,10 +48,10 @@
     schedule(milliseconds(50), milliseconds(300), [this] { operatorStep(); });
     cell_.runFor(kRun);
     healAndCheck();
-  } catch (const InvariantBroken& broken) {
-    result.broken = broken.what() + cell_.describe();
+  } catch (const InvariantViolation& violation) {
+    result.violation = violation.what() + cell_.describe();
   } catch (const Error& error) {
-    result.broken = error.what() + cell_.describe();
+    result.violation = error.what() + cell_.describe();
   }
   result.committed = cell_.oracle().committed().value;
   result.counts = cell_.counts();
@@ -64,7 +64,7 @@
   }
   const bool formed = cell_.runUntil([this] { return cell_.oracle().committed() > LogIndex{}; }, seconds(30));
   if (!formed) {
-    throw InvariantBroken("progress: the cell did not form within 30 s");
+    throw InvariantViolation("progress: the cell did not form within 30 s");
   }
 }
 
@@ -79,7 +79,7 @@
   });
 }
 
-SimulatedMember* FaultSchedule::anyRunning() {
+SimulatedMember* FaultSchedule::randomRunningMember() {
   std::vector<SimulatedMember*> running;
   for (std::size_t number = 0; number < cell_.memberCount(); ++number) {
     SimulatedMember& member = cell_.member(number);
@@ -119,7 +119,7 @@
 }
 
 void FaultSchedule::faultStep() {
-  SimulatedMember* member = anyRunning();
+  SimulatedMember* member = randomRunningMember();
   if (member == nullptr) {
     return;
   }
@@ -194,8 +194,8 @@
 }
 
 void FaultSchedule::cutOneWay() {
-  const SimulatedMember* from = anyRunning();
-  const SimulatedMember* to = anyRunning();
+  const SimulatedMember* from = randomRunningMember();
+  const SimulatedMember* to = randomRunningMember();
   cell_.cut(from->node, to->node, milliseconds(100 + cell_.random().below(4000)));
 }
 
@@ -211,7 +211,7 @@
 }
 
 void FaultSchedule::pauseOne() {
-  SimulatedMember& member = cell_.leader() != nullptr ? *cell_.leader() : *anyRunning();
+  SimulatedMember& member = cell_.leader() != nullptr ? *cell_.leader() : *randomRunningMember();
   const std::uint64_t incarnation = member.incarnation;
   cell_.pause(member);
   cell_.at(milliseconds(50 + cell_.random().below(5000)), [this, &member, incarnation] {
@@ -224,7 +224,7 @@
 /// True if the voters are exactly the desired members, no member's disk is lost, and nothing is uncommitted.
 bool FaultSchedule::isSettled() {
   const SimulatedMember* leader = cell_.leader();
-  if (leader == nullptr || leader->log->committed() != leader->log->lastIndex() || !lost_.empty()) {
+  if (leader == nullptr || leader->log->committed() != leader->log->lastIndex() || !lost_disks_.empty()) {
     return false;
   }
   std::set<MemberId> voters;
@@ -240,12 +240,12 @@
 /// Restarts a process on an empty disk under its old identity, which models a faulty repair; the operator
 /// later replaces the identity.
 void FaultSchedule::loseOneDisk() {
-  SimulatedMember* member = anyRunning();
+  SimulatedMember* member = randomRunningMember();
   if (!isSettled() || !desired_.contains(member->id)) {
     return;
   }
   cell_.loseDisk(*member);
-  lost_.insert(member->id);
+  lost_disks_.insert(member->id);
   member->bootstrap = cell_.random().chance(0.5);
   cell_.start(*member);
   const MemberId lost = member->id;
@@ -268,10 +268,10 @@
   if (!isSettled()) {
     return;
   }
-  constexpr std::size_t kSmallest = 3;
-  constexpr std::size_t kLargest = 5;
+  constexpr std::size_t kMinMembers = 3;
+  constexpr std::size_t kMaxMembers = 5;
   const bool grow =
-      desired_.size() < kLargest && (desired_.size() == kSmallest || cell_.random().chance(0.5));
+      desired_.size() < kMaxMembers && (desired_.size() == kMinMembers || cell_.random().chance(0.5));
   if (grow) {
     const MemberId id{++next_id_};
     cell_.start(cell_.addProcess(id, NodeName{"extra-" + std::to_string(id.value)}));
@@ -326,7 +326,7 @@
     const bool in_cell = findMember(leader.log->membership(), member.id) != nullptr;
     if (!in_cell && !desired_.contains(member.id) && retired_.insert(member.id).second) {
       cell_.stop(member);
-      lost_.erase(member.id);
+      lost_disks_.erase(member.id);
     }
   }
 }
@@ -353,7 +353,7 @@
   const bool progressed =
       elected && cell_.runUntil([this, before] { return cell_.oracle().committed() > before; }, seconds(30));
   if (!progressed) {
-    throw InvariantBroken("progress: nothing was committed within 30 s after all faults were healed");
+    throw InvariantViolation("progress: nothing was committed within 30 s after all faults were healed");
   }
   const bool complete = cell_.runUntil(
       [this] {
@@ -364,12 +364,12 @@
         const auto& members = leader->log->membership().members;
         return std::all_of(members.begin(), members.end(), [this](const wire::Member& known) {
           const SimulatedMember* member = find(known.id);
-          return lost_.contains(known.id) || member->applied == cell_.oracle().committed();
+          return lost_disks_.contains(known.id) || member->applied == cell_.oracle().committed();
         });
       },
       seconds(30));
   if (!complete) {
-    throw InvariantBroken(
+    throw InvariantViolation(
         "progress: not every member applied all committed entries within 30 s after all faults were "
         "healed");
   }
--- a/tests/consensus/fault_schedule.h
+++ b/tests/consensus/fault_schedule.h
@@ -11,7 +11,7 @@
 /// Result of the schedule of one seed.
 struct ScheduleResult {
   std::uint64_t seed = 0;
-  std::string broken;  ///< the violated invariant and the members' states; empty: none
+  std::string violation;  ///< the violated invariant and the members' states; empty: none
   std::uint64_t committed = 0;
   FaultCounts counts;
 };
@@ -39,16 +39,16 @@
   void changeSize();
   void replaceDesired(MemberId old_id, const NodeName& node);
   bool isSettled();
-  SimulatedMember* anyRunning();
+  SimulatedMember* randomRunningMember();
   SimulatedMember* find(MemberId id);
   void retireRemoved(const SimulatedMember& leader);
   void healAndCheck();
 
   std::uint64_t seed_;
   CellHarness cell_;
-  std::set<MemberId> desired_;  ///< target voters; the operator steps change the membership towards them
-  std::set<MemberId> lost_;     ///< identities whose disk was lost
-  std::set<MemberId> retired_;  ///< removed from the cell; never started again
+  std::set<MemberId> desired_;     ///< target voters; the operator steps change the membership towards them
+  std::set<MemberId> lost_disks_;  ///< identities whose disk was lost
+  std::set<MemberId> retired_;     ///< removed from the cell; never started again
   std::uint64_t next_id_ = 100;
   std::uint64_t commands_ = 0;
   bool faults_on_ = true;
--- a/tests/consensus/fault_schedule_test.cc
+++ b/tests/consensus/fault_schedule_test.cc
@@ -40,19 +40,19 @@
 std::uint64_t sweep(std::uint64_t first, std::uint64_t last, const Defects& defects) {
   FaultCounts sum;
   std::uint64_t committed = 0;
-  std::uint64_t broken = 0;
+  std::uint64_t violations = 0;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     const ScheduleResult result = runSchedule(seed, defects);
     add(sum, result.counts);
     committed += result.committed;
-    if (!result.broken.empty()) {
-      ++broken;
-      std::cout << "seed " << seed << ": " << result.broken << " (replay: FERRYROCK_SEEDS=" << seed << ".."
+    if (!result.violation.empty()) {
+      ++violations;
+      std::cout << "seed " << seed << ": " << result.violation << " (replay: FERRYROCK_SEEDS=" << seed << ".."
                 << seed << " test_consensus '[sweep]')" << std::endl;
     }
   }
   print(sum, last - first + 1, committed);
-  return broken;
+  return violations;
 }
 
 TEST_CASE("no invariant is violated under mixed faults") {
@@ -90,8 +90,8 @@
     INFO(defect.name << ", seed " << defect.seed);
     Defects defects;
     defects.*defect.flag = true;
-    CHECK_THAT(runSchedule(defect.seed, defects).broken, Catch::StartsWith(std::string(defect.invariant)));
-    CHECK(runSchedule(defect.seed).broken.empty());
+    CHECK_THAT(runSchedule(defect.seed, defects).violation, Catch::StartsWith(std::string(defect.invariant)));
+    CHECK(runSchedule(defect.seed).violation.empty());
   }
 }
 
--- a/tests/consensus/fault_table_test.cc
+++ b/tests/consensus/fault_table_test.cc
@@ -38,7 +38,7 @@
   REQUIRE(cell.runUntil([&] { return cell.oracle().committed() >= last; }, kLimit));
 }
 
-void cutOff(CellHarness& cell, const SimulatedMember& member, Duration duration) {
+void partitionOff(CellHarness& cell, const SimulatedMember& member, Duration duration) {
   for (std::size_t number = 0; number < cell.memberCount(); ++number) {
     cell.cut(member.node, cell.member(number).node, duration);
     cell.cut(cell.member(number).node, member.node, duration);
@@ -46,7 +46,7 @@
 }
 
 /// Checks that nothing is committed for 20 s.
-void checkStandstill(CellHarness& cell) {
+void checkNoProgress(CellHarness& cell) {
   const LogIndex before = cell.oracle().committed();
   cell.runFor(seconds(20));
   CHECK(cell.oracle().committed() == before);
@@ -70,12 +70,12 @@
   cell.start(leader);
 }
 
-void leaderCutOffForAnHour(CellHarness& cell) {
+void leaderPartitionedOffForAnHour(CellHarness& cell) {
   SimulatedMember& old_leader = awaitLeader(cell);
   cell.runFor(seconds(1));
   const TimePoint cut_at = cell.localTime(old_leader);
   CHECK(old_leader.log->followedAt(cut_at) > cut_at - milliseconds(400));
-  cutOff(cell, old_leader, minutes(60));
+  partitionOff(cell, old_leader, minutes(60));
   cell.runFor(milliseconds(300));
   CHECK(old_leader.log->followedAt(cell.localTime(old_leader)).value_or(cut_at) <= cut_at);
   cell.runFor(seconds(3));
@@ -88,7 +88,7 @@
   CHECK(awaitLeader(cell).log->term() == term);
 }
 
-void leaderIsHeardButDoesNotHear(CellHarness& cell) {
+void leaderCannotReceive(CellHarness& cell) {
   SimulatedMember& old_leader = awaitLeader(cell);
   for (std::size_t which : {0, 1}) {
     cell.cut(follower(cell, which).node, old_leader.node, seconds(20));
@@ -116,7 +116,7 @@
   cell.loseDisk(repaired);
   cell.start(repaired);
   cell.stop(lost);
-  checkStandstill(cell);
+  checkNoProgress(cell);
   cell.start(lost);
   commit(cell, 3);
   cell.stop(repaired);
@@ -130,7 +130,7 @@
   cell.start(first);
   cell.start(second);
   cell.runFor(seconds(2));
-  checkStandstill(cell);
+  checkNoProgress(cell);
   cell.stop(first);
   cell.stop(second);
 }
@@ -178,16 +178,16 @@
 
 struct FaultRow {
   const char* name;
-  std::function<void(CellHarness&)> happen;
-  bool goes_on;  ///< a majority of the disks is intact, so the cell must commit more entries
+  std::function<void(CellHarness&)> inject;
+  bool expects_progress;  ///< a majority of the disks is intact, so the cell must commit more entries
 };
 
 TEST_CASE("a cell survives each fault of the table, and makes no progress without a majority of disks") {
   const std::vector<FaultRow> rows{
       {"leader stopped between append and sync", leaderStopsBeforeSync, true},
       {"leader stopped between commit and response", leaderStopsAfterCommit, true},
-      {"leader partitioned off for an hour, then healed", leaderCutOffForAnHour, true},
-      {"leader can send but not receive", leaderIsHeardButDoesNotHear, true},
+      {"leader partitioned off for an hour, then healed", leaderPartitionedOffForAnHour, true},
+      {"leader can send but not receive", leaderCannotReceive, true},
       {"follower restarted after 500 entries", followerMissesFiveHundred, true},
       {"member restarted on an empty disk, then a second member stopped", secondLossRightAfterRepair, true},
       {"majority of the disks lost", majorityLosesItsDisks, false},
@@ -202,8 +202,8 @@
       settings.seed = seed;
       CellHarness cell(settings);
       commit(cell, 10);
-      CHECK_NOTHROW(row.happen(cell));
-      if (row.goes_on) {
+      CHECK_NOTHROW(row.inject(cell));
+      if (row.expects_progress) {
         commit(cell, 5);
       }
     }
--- a/tests/consensus/member_defect_test.cc
+++ b/tests/consensus/member_defect_test.cc
@@ -35,7 +35,7 @@
 /// A leader accepts a membership change only after it has committed an entry of its own term.
 bool changesMembersOnlyInItsTerm(const Defects& defects) {
   SingleMember member(defects, {1});
-  member.lead();
+  member.becomeLeader();
   const bool refused =
       member.log().remove(MemberId{3}, member.now()).code == ResultCode::MembershipChangeInProgress;
   member.sync();
@@ -49,7 +49,7 @@
 /// Entries of earlier terms are committed only together with a later entry of the leader's own term.
 bool commitsOnlyItsTerm(const Defects& defects) {
   SingleMember member(defects, {1, 2});
-  member.lead();
+  member.becomeLeader();
   member.sync();
   const LogIndex older = LogIndex{3};
   member.receive(
@@ -61,7 +61,7 @@
 }
 
 /// A vote is sent only after it is synced.
-bool votesOnlyOnceSynced(const Defects& defects) {
+bool sendsVoteOnlyOnceSynced(const Defects& defects) {
   SingleMember member(defects, {1});
   member.wait(milliseconds(400));
   member.receive(2, wire::VoteRequest{Term{5}, MemberId{2}, LogIndex{9}, Term{4}, false, true});
@@ -71,33 +71,33 @@
   return held_back && votes.size() == 1 && votes.front().granted;
 }
 
-struct PromiseRow {
+struct GuaranteeRow {
   const char* name;
-  bool (*kept)(const Defects&);
+  bool (*holds)(const Defects&);
   bool Defects::*defect;
 };
 
 TEST_CASE("each safety guarantee of a member holds, and a deliberate defect violates it") {
-  const std::vector<PromiseRow> rows{
+  const std::vector<GuaranteeRow> rows{
       {"acknowledges only synced entries", acknowledgesOnlySynced, &Defects::keep_durable_at_truncation},
       {"changes members only after a commit in its own term", changesMembersOnlyInItsTerm,
        &Defects::overlapping_member_changes},
       {"commits earlier terms only through its own term", commitsOnlyItsTerm, &Defects::commit_older_terms},
-      {"sends a vote only after it is synced", votesOnlyOnceSynced, &Defects::answer_before_sync},
+      {"sends a vote only after it is synced", sendsVoteOnlyOnceSynced, &Defects::answer_before_sync},
   };
-  for (const PromiseRow& row : rows) {
+  for (const GuaranteeRow& row : rows) {
     INFO(row.name);
-    CHECK(row.kept(Defects{}));
+    CHECK(row.holds(Defects{}));
     Defects defects;
     defects.*row.defect = true;
-    CHECK_FALSE(row.kept(defects));
+    CHECK_FALSE(row.holds(defects));
   }
 }
 
 /// A batch in reply to every rejection would multiply duplicated messages.
 TEST_CASE("a repeated rejection does not trigger another batch") {
   SingleMember member(Defects{}, {1, 1, 1});
-  member.lead();
+  member.becomeLeader();
   member.sync();
   const Term term = member.log().term();
   const wire::AppendResponse refusal{term, MemberId{2}, false, LogIndex{2}, 0, SingleMember::diskOf(2)};
@@ -112,7 +112,7 @@
 /// rejection.
 TEST_CASE("a member that lost acknowledged entries is probed at intervals, not at every rejection") {
   SingleMember member(Defects{}, {1, 1, 1});
-  member.lead();
+  member.becomeLeader();
   member.sync();
   const Term term = member.log().term();
   const LogIndex last = member.log().lastIndex();
--- a/tests/consensus/member_fixture.cc
+++ b/tests/consensus/member_fixture.cc
@@ -51,7 +51,7 @@
   now_ = end;
 }
 
-void SingleMember::lead() {
+void SingleMember::becomeLeader() {
   const Term term = log_->term().next();
   receive(2, wire::TimeoutNow{log_->term(), MemberId{2}});
   sync();
--- a/tests/consensus/member_fixture.h
+++ b/tests/consensus/member_fixture.h
@@ -25,7 +25,7 @@
   /// Advances the clock and runs the ticks that are due.
   void wait(Duration duration);
   /// Makes the member leader of the next term, with the vote of member 2.
-  void lead();
+  void becomeLeader();
   void proposeOne() { handle(log_->propose("command", now_).effects); }
   void handle(Effects effects);
 
--- a/tests/consensus/model.cc
+++ b/tests/consensus/model.cc
@@ -38,7 +38,7 @@
 }
 
 /// Initial contents of a member's disk.
-RecoveredState firstDisk(const ModelSettings& settings, std::size_t position) {
+RecoveredState initialDisk(const ModelSettings& settings, std::size_t position) {
   RecoveredState disk;
   disk.hard_state = {Term{settings.terms[position]}, MemberId{}, diskAt(position)};
   disk.entries.push_back(
@@ -79,9 +79,9 @@
 ModelState::ModelState(std::shared_ptr<const ModelSettings> settings)
     : settings_(std::move(settings)),
       oracle_(std::make_shared<const CellOracle>()),
-      left_(settings_->budget) {
+      remaining_(settings_->budget) {
   for (std::size_t position = 0; position < kModelMembers; ++position) {
-    start(position, firstDisk(*settings_, position));
+    start(position, initialDisk(*settings_, position));
   }
 }
 
@@ -115,7 +115,7 @@
       continue;
     }
     steps.push_back({StepKind::Deliver, packet});
-    if (left_.duplicates > 0) {
+    if (remaining_.duplicates > 0) {
       steps.push_back({StepKind::DeliverCopy, packet});
     }
   }
@@ -125,21 +125,21 @@
     if (!member.unsynced.empty()) {
       steps.push_back({StepKind::Sync, position});
     }
-    if (left_.crashes > 0) {
+    if (remaining_.crashes > 0) {
       steps.push_back({StepKind::Crash, position});
       if (!member.unsynced.empty()) {
         steps.push_back({StepKind::CrashAfterWrite, position});
       }
     }
-    const bool first_election = left_.elections == settings_->budget.elections;
-    const bool may_stand = !first_election || position < settings_->first_candidates;
-    if (left_.elections > 0 && !leads && may_stand) {
-      steps.push_back({StepKind::StandForElection, position});
+    const bool first_election = remaining_.elections == settings_->budget.elections;
+    const bool may_start_election = !first_election || position < settings_->first_candidate_count;
+    if (remaining_.elections > 0 && !leads && may_start_election) {
+      steps.push_back({StepKind::StartElection, position});
     }
-    if (left_.proposals > 0 && leads) {
+    if (remaining_.proposals > 0 && leads) {
       steps.push_back({StepKind::Propose, position});
     }
-    if (left_.heartbeats > 0 && leads) {
+    if (remaining_.heartbeats > 0 && leads) {
       steps.push_back({StepKind::Heartbeat, position});
     }
   }
@@ -153,7 +153,7 @@
       next.deliver(step.position, false);
       break;
     case StepKind::DeliverCopy:
-      --next.left_.duplicates;
+      --next.remaining_.duplicates;
       next.deliver(step.position, true);
       break;
     case StepKind::Sync:
@@ -165,22 +165,22 @@
     case StepKind::CrashAfterWrite:
       next.crash(step.position, true);
       break;
-    case StepKind::StandForElection:
-      --next.left_.elections;
+    case StepKind::StartElection:
+      --next.remaining_.elections;
       next.act(step.position, [&](QuorumLogImpl& log) {
         return log.receive(nodeAt(step.position), wire::TimeoutNow{log.term(), MemberId{}}, kStart);
       });
       break;
     case StepKind::Propose:
-      --next.left_.proposals;
+      --next.remaining_.proposals;
       next.act(step.position, [](QuorumLogImpl& log) { return log.propose("command", kStart).effects; });
       break;
     case StepKind::Heartbeat:
-      --next.left_.heartbeats;
+      --next.remaining_.heartbeats;
       next.act(step.position, [](QuorumLogImpl& log) { return log.tick(log.nextDeadline()); });
       break;
   }
-  next.settle();
+  next.applyForcedSteps();
   next.checkLogsMatch();
   return next;
 }
@@ -191,12 +191,12 @@
   auto log = std::make_shared<QuorumLogImpl>(*member->log);
   Effects effects = action(*log);
   member->log = std::move(log);
-  carryOut(position, std::move(effects), *member);
+  applyEffects(position, std::move(effects), *member);
   member->fingerprint = memberFingerprint(*member);
   members_[position] = std::move(member);
 }
 
-void ModelState::carryOut(std::size_t position, Effects effects, ModelMember& member) {
+void ModelState::applyEffects(std::size_t position, Effects effects, ModelMember& member) {
   for (Effect& effect : effects) {
     if (auto* send = std::get_if<wire::SendEffect>(&effect)) {
       auto packet = std::make_shared<Packet>();
@@ -241,7 +241,7 @@
 }
 
 void ModelState::crash(std::size_t position, bool after_write) {
-  --left_.crashes;
+  --remaining_.crashes;
   RecoveredState disk = members_[position]->disk;
   if (after_write) {
     for (const PersistEffect& write : members_[position]->unsynced) {
@@ -261,22 +261,22 @@
 }
 
 /// Syncs pending writes if no crash can follow, and drops obsolete messages.
-void ModelState::settle() {
-  if (left_.crashes == 0) {
+void ModelState::applyForcedSteps() {
+  if (remaining_.crashes == 0) {
     for (std::size_t position = 0; position < kModelMembers; ++position) {
       while (!members_[position]->unsynced.empty()) {
         sync(position);
       }
     }
   }
-  dropDeadPackets();
+  dropObsoletePackets();
 }
 
-void ModelState::dropDeadPackets() {
-  std::erase_if(packets_, [this](const auto& packet) { return isDead(*packet); });
+void ModelState::dropObsoletePackets() {
+  std::erase_if(packets_, [this](const auto& packet) { return isObsolete(*packet); });
 }
 
-bool ModelState::isDead(const Packet& packet) const {
+bool ModelState::isObsolete(const Packet& packet) const {
   const Term synced_term = members_[packet.to]->disk.hard_state.term;
   if (const auto* vote = std::get_if<wire::VoteResponse>(&packet.message)) {
     return vote->term < synced_term;
@@ -299,9 +299,9 @@
         const bool same = left.at(index) == right.at(index);
         const bool same_term = left.at(index).term == right.at(index).term;
         if ((same_above || same_term) && !same) {
-          throw InvariantBroken("log matching: members " + std::to_string(one + 1) + " and " +
-                                std::to_string(other + 1) + " differ at entry " +
-                                std::to_string(index.value));
+          throw InvariantViolation("log matching: members " + std::to_string(one + 1) + " and " +
+                                   std::to_string(other + 1) + " differ at entry " +
+                                   std::to_string(index.value));
         }
         same_above |= same;
       }
@@ -322,8 +322,8 @@
   }
   text += std::to_string(oracle_->committed().value) + "/" +
           std::to_string(oracle_->digestAt(oracle_->committed()));
-  for (const std::uint8_t left :
-       {left_.elections, left_.crashes, left_.proposals, left_.heartbeats, left_.duplicates}) {
+  for (const std::uint8_t left : {remaining_.elections, remaining_.crashes, remaining_.proposals,
+                                  remaining_.heartbeats, remaining_.duplicates}) {
     text += "," + std::to_string(left);
   }
   return text;
@@ -404,8 +404,8 @@
         if (origins.emplace(keyOf(next), Origin{key, step}).second) {
           frontier.emplace_back(std::move(next), depth + 1);
         }
-      } catch (const InvariantBroken& broken) {
-        result.broken = broken.what();
+      } catch (const InvariantViolation& violation) {
+        result.violation = violation.what();
         result.trace = traceTo(first, origins, key);
         result.trace.push_back(state.describe(step));
         result.states = origins.size();
--- a/tests/consensus/model.h
+++ b/tests/consensus/model.h
@@ -35,9 +35,9 @@
   std::array<std::uint64_t, kModelMembers> terms{1, 1, 1};
   Budget budget;
   Defects defects;
-  /// The first election may be started only by the first first_candidates members: if the members are
+  /// The first election may be started only by the first first_candidate_count members: if the members are
   /// interchangeable, the other candidates lead to equivalent states.
-  std::size_t first_candidates = kModelMembers;
+  std::size_t first_candidate_count = kModelMembers;
 };
 
 /// One member and its disk; shared between states.
@@ -62,7 +62,7 @@
   Sync,
   Crash,            ///< crash and restart; unsynced writes are lost
   CrashAfterWrite,  ///< crash and restart; unsynced writes have reached the disk
-  StandForElection,
+  StartElection,
   Propose,
   Heartbeat,
 };
@@ -79,7 +79,7 @@
 
   /// Steps that are possible in this state.
   std::vector<Step> steps() const;
-  /// The state after a step. Throws InvariantBroken if the step violates an invariant.
+  /// The state after a step. Throws InvariantViolation if the step violates an invariant.
   ModelState after(const Step& step) const;
   /// Equal for states that have equivalent successors.
   std::string fingerprint() const;
@@ -91,13 +91,13 @@
   /// Runs the action on a copy of the member and applies its effects.
   template <class Action>
   void act(std::size_t position, const Action& action);
-  void carryOut(std::size_t position, Effects effects, ModelMember& member);
+  void applyEffects(std::size_t position, Effects effects, ModelMember& member);
   void sync(std::size_t position);
   void crash(std::size_t position, bool after_write);
   void deliver(std::size_t packet, bool keep);
-  void settle();
-  void dropDeadPackets();
-  bool isDead(const Packet& packet) const;
+  void applyForcedSteps();
+  void dropObsoletePackets();
+  bool isObsolete(const Packet& packet) const;
   void checkLogsMatch() const;
 
   std::shared_ptr<const ModelSettings> settings_;
@@ -105,7 +105,7 @@
   std::vector<std::shared_ptr<const Packet>> packets_;  ///< sorted by key
   std::shared_ptr<const CellOracle> oracle_;
   std::map<std::uint64_t, std::size_t> leaders_;  ///< by term
-  Budget left_;
+  Budget remaining_;
 };
 
 struct Exploration {
@@ -113,7 +113,7 @@
   std::uint64_t steps = 0;
   std::size_t depth = 0;           ///< all paths of this many steps were explored
   bool complete = false;           ///< all states within the budget were explored
-  std::string broken;              ///< the violated invariant; empty: none
+  std::string violation;           ///< the violated invariant; empty: none
   std::vector<std::string> trace;  ///< shortest sequence of steps to the violation
 };
 
--- a/tests/consensus/quorum_log_inspector.cc
+++ b/tests/consensus/quorum_log_inspector.cc
@@ -42,7 +42,7 @@
 }
 
 void writeLeadership(const Leadership& leadership, Writer& writer) {
-  writer.number(leadership.opening_index.value).number(leadership.round).number(leadership.reads.size());
+  writer.number(leadership.term_start_index.value).number(leadership.round).number(leadership.reads.size());
   for (const auto& [member, progress] : leadership.peers) {
     writer.number(member.value);
     writeProgress(progress, writer);
