--- a/src/storage/folder_reader.cc
+++ b/src/storage/folder_reader.cc
@@ -19,7 +19,7 @@
 
 /// Decodes a payload whose checksum is valid. Throws CorruptRecord if it cannot be decoded nevertheless.
 template <class Decode>
-auto decodeSound(const Decode& decode, std::string_view payload, const std::string& place) {
+auto decodeVerified(const Decode& decode, std::string_view payload, const std::string& place) {
   try {
     return decode(payload);
   } catch (const Error& fault) {
@@ -43,7 +43,7 @@
       truncateFrom(truncate->from);
     } else if (const auto* mark = std::get_if<SnapshotMark>(&record)) {
       replaceThrough(mark->last_index, mark->last_term);
-      contents_.marked = mark->last_index;
+      contents_.marked_snapshot_index = mark->last_index;
     }
   }
 
@@ -109,7 +109,7 @@
     corrupt("the snapshot is truncated or its checksum does not match", *newest);
   }
   SnapshotContents contents{*newest, bytes.size(),
-                            decodeSound(decodeSnapshot, scan.frames.front().payload, *newest)};
+                            decodeVerified(decodeSnapshot, scan.frames.front().payload, *newest)};
   if (snapshotName(contents.snapshot.last_index) != *newest) {
     corrupt("the snapshot has another index than its file name", *newest);
   }
@@ -125,7 +125,7 @@
   return std::stoull(digits);
 }
 
-void checkDamage(const FrameScan& scan, const SegmentContents& segment, bool is_last) {
+void checkTail(const FrameScan& scan, const SegmentContents& segment, bool is_last) {
   if (scan.valid_bytes == segment.bytes) {
     return;
   }
@@ -148,16 +148,16 @@
   segment.bytes = bytes.size();
   segment.valid_bytes = scan.valid_bytes;
   segment.frames = scan.frames.size();
-  checkDamage(scan, segment, is_last);
+  checkTail(scan, segment, is_last);
   for (const Frame& frame : scan.frames) {
     const std::string place = atByte(name, frame.offset);
-    if (contents.last_frame != 0 && frame.number != contents.last_frame + 1) {
-      corrupt(
-          "record " + std::to_string(frame.number) + " follows record " + std::to_string(contents.last_frame),
-          place);
+    if (contents.last_frame_number != 0 && frame.number != contents.last_frame_number + 1) {
+      corrupt("record " + std::to_string(frame.number) + " follows record " +
+                  std::to_string(contents.last_frame_number),
+              place);
     }
-    contents.last_frame = frame.number;
-    const Records records = decodeSound(decodeRecords, frame.payload, place);
+    contents.last_frame_number = frame.number;
+    const Records records = decodeVerified(decodeRecords, frame.payload, place);
     const bool opens_segment = frame.offset == 0;
     if (opens_segment && (records.empty() || !std::holds_alternative<SegmentHeader>(records.front()))) {
       corrupt("the segment does not begin with its header", place);
@@ -168,7 +168,7 @@
   }
 }
 
-void checkWhole(const FolderContents& contents) {
+void checkConsistency(const FolderContents& contents) {
   const LogIndex base = contents.snapshot ? contents.snapshot->snapshot.last_index : LogIndex{};
   if (contents.snapshot && !contents.header) {
     corrupt("the folder has a snapshot but no segment", contents.snapshot->name);
@@ -196,7 +196,7 @@
   if (contents.snapshot) {
     replay.replaceThrough(contents.snapshot->snapshot.last_index, contents.snapshot->snapshot.last_term);
   }
-  checkWhole(contents);
+  checkConsistency(contents);
 }
 
 }  // namespace ferryrock::storage
--- a/src/storage/folder_reader.h
+++ b/src/storage/folder_reader.h
@@ -34,9 +34,9 @@
   std::vector<SegmentContents> segments;
   std::optional<SnapshotContents> snapshot;  ///< the most recent one
   consensus::HardState hard_state;
-  std::deque<wire::LogEntry> entries;  ///< once readFolder() has returned: the entries after the snapshot
-  std::uint64_t last_frame = 0;        ///< number of the last valid frame; 0: none
-  LogIndex marked;                     ///< last index of the latest SnapshotMark in the segments; 0: none
+  std::deque<wire::LogEntry> entries;   ///< once readFolder() has returned: the entries after the snapshot
+  std::uint64_t last_frame_number = 0;  ///< number of the last valid frame; 0: none
+  LogIndex marked_snapshot_index;       ///< last index of the latest SnapshotMark in the segments; 0: none
 };
 
 /// Reads the whole folder. Throws CorruptRecord if any part other than a torn tail is damaged or missing, and
--- a/src/storage/log_storage.cc
+++ b/src/storage/log_storage.cc
@@ -16,7 +16,7 @@
 class LogStorageImpl : public LogStorage {
  public:
   LogStorageImpl(std::unique_ptr<FileSystem> files, MemberId member, std::uint64_t segment_bytes)
-      : files_(std::move(files)), member_(member), maximum_segment_bytes_(segment_bytes) {}
+      : files_(std::move(files)), member_(member), max_segment_bytes_(segment_bytes) {}
 
   consensus::RecoveredState recover() override;
   void persist(const std::vector<consensus::PersistEffect>& writes) override;
@@ -31,42 +31,42 @@
 
   void checkMember(const FolderContents& contents) const;
   /// Progress of one call of persist().
-  struct Progress {
-    std::size_t recorded = 0;  ///< number of writes whose records are synced
-    std::size_t finished = 0;  ///< number of writes whose records and snapshot, if any, are synced
+  struct PersistProgress {
+    std::size_t synced_records = 0;    ///< number of writes whose records are synced
+    std::size_t completed_writes = 0;  ///< number of writes whose records and snapshot, if any, are synced
   };
 
-  static std::uint64_t forgetTornTail(FolderContents& contents);
-  void persistAll(const std::vector<consensus::PersistEffect>& writes, Progress& progress);
-  void keepUnwritten(const std::vector<consensus::PersistEffect>& writes, const Progress& progress);
+  static std::uint64_t discardTornTail(FolderContents& contents);
+  void persistAll(const std::vector<consensus::PersistEffect>& writes, PersistProgress& progress);
+  void keepUnwritten(const std::vector<consensus::PersistEffect>& writes, const PersistProgress& progress);
   void addRecords(const consensus::PersistEffect& write, Records& records);
   void flush(Records& records);
   void writeSnapshot(const consensus::Snapshot& snapshot);
-  void cutCurrentSegment();
+  void truncateCurrentSegment();
   void beginSegment();
   void removeObsolete();
   std::string currentName() const { return segmentName(segments_.back().number); }
 
   std::unique_ptr<FileSystem> files_;
   MemberId member_;
-  std::uint64_t maximum_segment_bytes_;
-  bool usable_ = false;       ///< recovered, and no write has failed since recovery or the last repair
-  bool recovered_ = false;    ///< recover() has read the folder
-  bool segment_due_ = false;  ///< the next write must go to a new segment
+  std::uint64_t max_segment_bytes_;
+  bool writable_ = false;           ///< recovered, and no write has failed since recovery or the last repair
+  bool recovered_ = false;          ///< recover() has read the folder
+  bool needs_new_segment_ = false;  ///< the next write must go to a new segment
   std::vector<consensus::PersistEffect> unwritten_;
   consensus::HardState hard_state_;
   std::optional<SnapshotMark> snapshot_;
   std::vector<Segment> segments_;  ///< oldest first; writes go to the last one
   std::uint64_t segment_bytes_ = 0;
-  std::uint64_t last_frame_ = 0;
+  std::uint64_t last_frame_number_ = 0;
 };
 
 consensus::RecoveredState LogStorageImpl::recover() {
   FolderContents contents;
   readFolder(*files_, contents);
   checkMember(contents);
-  const std::uint64_t torn_bytes = forgetTornTail(contents);
-  last_frame_ = contents.last_frame;
+  const std::uint64_t torn_bytes = discardTornTail(contents);
+  last_frame_number_ = contents.last_frame_number;
   hard_state_ = contents.hard_state;
   for (const SegmentContents& segment : contents.segments) {
     segments_.push_back({segment.number, segment.highest_index});
@@ -80,20 +80,20 @@
     recovered.snapshot = std::move(contents.snapshot->snapshot);
     snapshot_ = SnapshotMark{recovered.snapshot->last_index, recovered.snapshot->last_term};
   }
-  const bool snapshot_is_marked = !snapshot_ || contents.marked == snapshot_->last_index;
-  segment_due_ = segments_.empty() || !snapshot_is_marked;
+  const bool snapshot_is_marked = !snapshot_ || contents.marked_snapshot_index == snapshot_->last_index;
+  needs_new_segment_ = segments_.empty() || !snapshot_is_marked;
   recovered_ = true;
   try {
     if (torn_bytes > 0) {
-      cutCurrentSegment();
+      truncateCurrentSegment();
     }
-    if (segment_due_) {
+    if (needs_new_segment_) {
       beginSegment();
     }
     removeObsolete();
-    usable_ = true;
+    writable_ = true;
   } catch (const Error& fault) {
-    // The recovered state is valid although the disk is full. usable_ stays false, so persist() reports the
+    // The recovered state is valid although the disk is full. writable_ stays false, so persist() reports the
     // error.
     if (fault.code() != ResultCode::DiskFull) {
       throw;
@@ -113,7 +113,7 @@
 
 /// Returns the number of bytes in the torn tail. Drops a last segment without a complete header: its header
 /// was never synced, so it holds nothing that was acknowledged.
-std::uint64_t LogStorageImpl::forgetTornTail(FolderContents& contents) {
+std::uint64_t LogStorageImpl::discardTornTail(FolderContents& contents) {
   if (contents.segments.empty()) {
     return 0;
   }
@@ -125,7 +125,7 @@
 }
 
 /// Drops everything after the last frame that is known to be synced, including a segment begun after it.
-void LogStorageImpl::cutCurrentSegment() {
+void LogStorageImpl::truncateCurrentSegment() {
   const std::string next = segmentName(segments_.empty() ? 1 : segments_.back().number + 1);
   if (files_->exists(next)) {
     files_->remove(next);
@@ -141,59 +141,60 @@
   if (!recovered_) {
     throw Error(ResultCode::StorageFailed, "the log is not recovered yet");
   }
-  cutCurrentSegment();
-  if (segment_due_) {
+  truncateCurrentSegment();
+  if (needs_new_segment_) {
     beginSegment();
   }
   removeObsolete();
-  usable_ = true;
+  writable_ = true;
 }
 
 void LogStorageImpl::persist(const std::vector<consensus::PersistEffect>& writes) {
-  if (!usable_) {
+  if (!writable_) {
     unwritten_.insert(unwritten_.end(), writes.begin(), writes.end());
     throw Error(ResultCode::StorageFailed, "the log is not recovered yet, or an earlier write failed");
   }
-  usable_ = false;
+  writable_ = false;
   unwritten_.clear();
-  Progress progress;
+  PersistProgress progress;
   try {
     persistAll(writes, progress);
   } catch (...) {
     keepUnwritten(writes, progress);
     throw;
   }
-  usable_ = true;
+  writable_ = true;
 }
 
-void LogStorageImpl::persistAll(const std::vector<consensus::PersistEffect>& writes, Progress& progress) {
+void LogStorageImpl::persistAll(const std::vector<consensus::PersistEffect>& writes,
+                                PersistProgress& progress) {
   Records records;
   for (std::size_t i = 0; i < writes.size(); ++i) {
     addRecords(writes[i], records);
     if (writes[i].snapshot) {
       flush(records);
-      progress.recorded = i + 1;
+      progress.synced_records = i + 1;
       writeSnapshot(*writes[i].snapshot);
-      progress.finished = i + 1;
-      segment_due_ = true;
+      progress.completed_writes = i + 1;
+      needs_new_segment_ = true;
       beginSegment();
       removeObsolete();
     }
   }
   flush(records);
   progress = {writes.size(), writes.size()};
-  if (segment_bytes_ >= maximum_segment_bytes_) {
-    segment_due_ = true;
+  if (segment_bytes_ >= max_segment_bytes_) {
+    needs_new_segment_ = true;
     beginSegment();
   }
 }
 
 void LogStorageImpl::keepUnwritten(const std::vector<consensus::PersistEffect>& writes,
-                                   const Progress& progress) {
-  for (std::size_t i = progress.finished; i < writes.size(); ++i) {
+                                   const PersistProgress& progress) {
+  for (std::size_t i = progress.completed_writes; i < writes.size(); ++i) {
     consensus::PersistEffect rest;
     rest.sequence = writes[i].sequence;
-    if (i < progress.recorded) {
+    if (i < progress.synced_records) {
       rest.snapshot = writes[i].snapshot;
     } else {
       rest = writes[i];
@@ -220,11 +221,11 @@
   if (records.empty()) {
     return;
   }
-  const std::string frame = encodeFrame(last_frame_ + 1, encodeRecords(records));
+  const std::string frame = encodeFrame(last_frame_number_ + 1, encodeRecords(records));
   const std::string name = currentName();
   files_->append(name, frame);
   files_->sync(name);
-  ++last_frame_;
+  ++last_frame_number_;
   segment_bytes_ += frame.size();
   records.clear();
 }
@@ -248,19 +249,19 @@
   if (snapshot_) {
     records.emplace_back(*snapshot_);
   }
-  const std::uint64_t earlier_bytes = std::exchange(segment_bytes_, 0);
-  const std::uint64_t earlier_frame = last_frame_;
+  const std::uint64_t previous_bytes = std::exchange(segment_bytes_, 0);
+  const std::uint64_t previous_frame_number = last_frame_number_;
   segments_.push_back({number, LogIndex{}});
   try {
     flush(records);
     files_->syncFolder();
   } catch (...) {
     segments_.pop_back();
-    segment_bytes_ = earlier_bytes;
-    last_frame_ = earlier_frame;
+    segment_bytes_ = previous_bytes;
+    last_frame_number_ = previous_frame_number;
     throw;
   }
-  segment_due_ = false;
+  needs_new_segment_ = false;
 }
 
 void LogStorageImpl::removeObsolete() {
--- a/src/storage/memory_file_system.cc
+++ b/src/storage/memory_file_system.cc
@@ -86,7 +86,7 @@
     if (disk_.syncs_fail_) {
       throw Error(ResultCode::SyncFailed, "syncing the folder failed: simulated fault");
     }
-    disk_.pending_.clear();
+    disk_.unsynced_name_changes_.clear();
     disk_.durable_names_ = disk_.names_;
     ++disk_.syncs_;
   }
@@ -115,11 +115,11 @@
 }
 
 void MemoryDisk::crash() {
-  const std::uint64_t surviving = random_.below(pending_.size() + 1);
+  const std::uint64_t surviving = random_.below(unsynced_name_changes_.size() + 1);
   for (std::uint64_t i = 0; i < surviving; ++i) {
-    apply(pending_[i], durable_names_);
+    apply(unsynced_name_changes_[i], durable_names_);
   }
-  pending_.clear();
+  unsynced_name_changes_.clear();
   names_ = durable_names_;
   for (auto& [name, file] : names_) {
     loseUnsynced(*file);
@@ -130,7 +130,7 @@
 void MemoryDisk::wipe() {
   names_.clear();
   durable_names_.clear();
-  pending_.clear();
+  unsynced_name_changes_.clear();
   operations_left_.reset();
 }
 
@@ -172,7 +172,7 @@
 
 void MemoryDisk::changeNames(NameOperation operation) {
   apply(operation, names_);
-  pending_.push_back(std::move(operation));
+  unsynced_name_changes_.push_back(std::move(operation));
 }
 
 void MemoryDisk::apply(const NameOperation& operation, Names& names) {
--- a/src/storage/memory_file_system.h
+++ b/src/storage/memory_file_system.h
@@ -72,7 +72,7 @@
   Random random_;
   Names names_;
   Names durable_names_;
-  std::vector<NameOperation> pending_;
+  std::vector<NameOperation> unsynced_name_changes_;
   std::optional<std::uint64_t> operations_left_;
   std::optional<std::uint64_t> capacity_;
   bool syncs_fail_ = false;
--- a/src/storage/posix_file_system.cc
+++ b/src/storage/posix_file_system.cc
@@ -94,18 +94,18 @@
       fail(ResultCode::StorageFailed, "reading the size", fullName(path), errno);
     }
     std::string bytes(static_cast<std::size_t>(status.st_size), '\0');
-    std::size_t done = 0;
-    while (done < bytes.size()) {
-      const ssize_t count = ::read(file.get(), bytes.data() + done, bytes.size() - done);
+    std::size_t bytes_read = 0;
+    while (bytes_read < bytes.size()) {
+      const ssize_t count = ::read(file.get(), bytes.data() + bytes_read, bytes.size() - bytes_read);
       if (count < 0 && errno != EINTR) {
         fail(ResultCode::StorageFailed, "reading", fullName(path), errno);
       }
       if (count == 0) {
         break;
       }
-      done += count > 0 ? static_cast<std::size_t>(count) : 0;
+      bytes_read += count > 0 ? static_cast<std::size_t>(count) : 0;
     }
-    bytes.resize(done);
+    bytes.resize(bytes_read);
     return bytes;
   }
 
--- a/tests/storage/crash_point_test.cc
+++ b/tests/storage/crash_point_test.cc
@@ -10,11 +10,11 @@
 
 struct CrashRow {
   const char* name;
-  std::vector<Writes> before;    ///< synced
-  Writes interrupted;            ///< the crash is injected at each file operation of this write in turn
-  std::vector<std::string> may;  ///< valid recovered states: none to all of `interrupted`
-  Writes after;                  ///< written after recovery if the last valid state was recovered
-  std::string at_end;            ///< state recovered after `after` was written
+  std::vector<Writes> before;  ///< synced
+  Writes interrupted;          ///< the crash is injected at each file operation of this write in turn
+  std::vector<std::string> valid_states;  ///< valid recovered states: none to all of `interrupted`
+  Writes after;                           ///< written after recovery if the last valid state was recovered
+  std::string recovered_after;            ///< state recovered after `after` was written
 };
 
 std::vector<CrashRow> crashRows() {
@@ -94,16 +94,16 @@
   }
   disk.crash();
   std::string recovered = describe(recoverFrom(disk.open()));
-  CHECK(std::find(row.may.begin(), row.may.end(), recovered) != row.may.end());
+  CHECK(std::find(row.valid_states.begin(), row.valid_states.end(), recovered) != row.valid_states.end());
   if (!crashed) {
-    CHECK(recovered == row.may.back());
+    CHECK(recovered == row.valid_states.back());
   }
   CHECK(describe(recoverFrom(disk.open())) == recovered);
-  if (recovered == row.may.back()) {
+  if (recovered == row.valid_states.back()) {
     const auto storage = createLogStorage(disk.open(), kMember, kSmallSegment);
     storage->recover();
     storage->persist(row.after);
-    recovered = row.at_end;
+    recovered = row.recovered_after;
   }
   disk.crash();
   CHECK(describe(recoverFrom(disk.open())) == recovered);
--- a/tests/storage/log_storage_test.cc
+++ b/tests/storage/log_storage_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Writes two segments and a snapshot: hard state, entries 1..6, a snapshot up to entry 4, entries 7 and 8.
-void fill(Folder& folder) {
+void writeSampleLog(Folder& folder) {
   WriteBuilder make;
   const auto storage = createLogStorage(folder.open(), kMember, kSmallSegment);
   storage->recover();
@@ -47,9 +47,9 @@
 struct FaultRow {
   const char* name;
   std::function<void(Folder&)> damage;
-  ResultCode fault;           ///< thrown by recover(); Ok: none
-  const char* recovered;      ///< expected state if fault is Ok
-  const char* sentence = "";  ///< expected part of the error message
+  ResultCode fault;          ///< thrown by recover(); Ok: none
+  const char* recovered;     ///< expected state if fault is Ok
+  const char* message = "";  ///< expected part of the error message
 };
 
 const std::vector<FaultRow> kFaults{
@@ -147,7 +147,7 @@
      ResultCode::WrongDataFolder, "", "format"},
 };
 
-std::string sentenceOf(const std::function<void()>& action) {
+std::string messageOf(const std::function<void()>& action) {
   try {
     action();
   } catch (const Error& error) {
@@ -161,12 +161,12 @@
   for (const FaultRow& row : kFaults) {
     INFO(row.name << ", " << (kind == FolderKind::Memory ? "memory" : "posix"));
     const auto folder = makeFolder(kind);
-    fill(*folder);
+    writeSampleLog(*folder);
     row.damage(*folder);
     consensus::RecoveredState recovered;
     const auto recover = [&] { recovered = recoverFrom(folder->open()); };
-    const std::string sentence = sentenceOf(recover);
-    CHECK_THAT(sentence, Catch::Contains(row.sentence));
+    const std::string message = messageOf(recover);
+    CHECK_THAT(message, Catch::Contains(row.message));
     CHECK(faultOf(recover) == row.fault);
     if (row.fault == ResultCode::Ok) {
       CHECK(describe(recovered) == row.recovered);
@@ -176,15 +176,15 @@
 
 TEST_CASE("the folder of another member is rejected") {
   const auto folder = makeFolder(GENERATE(FolderKind::Memory, FolderKind::Posix));
-  fill(*folder);
+  writeSampleLog(*folder);
   const auto recover = [&] { createLogStorage(folder->open(), MemberId{8})->recover(); };
   CHECK(faultOf(recover) == ResultCode::WrongDataFolder);
-  CHECK_THAT(sentenceOf(recover), Catch::Contains("member 7") && Catch::Contains("member 8"));
+  CHECK_THAT(messageOf(recover), Catch::Contains("member 7") && Catch::Contains("member 8"));
 }
 
 TEST_CASE("a flipped bit before the last frame is rejected, not skipped as a torn tail") {
   MemoryFolder folder;
-  fill(folder);
+  writeSampleLog(folder);
   const std::string bytes = folder.read(segmentName(2));
   const std::size_t last_frame = scanOf(bytes).frames.back().offset;
   for (std::size_t position = 0; position < last_frame; ++position) {
@@ -196,7 +196,7 @@
 
 TEST_CASE("a last frame truncated at any byte is dropped at recovery") {
   MemoryFolder folder;
-  fill(folder);
+  writeSampleLog(folder);
   const std::string bytes = folder.read(segmentName(2));
   for (std::size_t size = scanOf(bytes).frames.back().offset; size < bytes.size(); ++size) {
     folder.write(segmentName(2), bytes.substr(0, size));
@@ -206,7 +206,7 @@
 
 struct WriteFaultRow {
   const char* name;
-  std::function<void(MemoryDisk&)> break_disk;
+  std::function<void(MemoryDisk&)> inject_fault;
   ResultCode fault;
 };
 
@@ -223,7 +223,7 @@
       const auto storage = createLogStorage(disk.open(), kMember, kSmallSegment);
       storage->recover();
       storage->persist({make.entries(1, 2)});
-      row.break_disk(disk);
+      row.inject_fault(disk);
       CHECK(faultOf([&] { storage->persist({make.entries(3, 3)}); }) == row.fault);
       disk.setCapacity(std::nullopt);
       disk.setSyncsFail(false);
--- a/tests/storage/mend_test.cc
+++ b/tests/storage/mend_test.cc
@@ -9,12 +9,12 @@
 namespace ferryrock::storage {
 namespace {
 
-struct TroubleRow {
+struct DiskFaultRow {
   const char* name;
-  std::function<void(MemoryDisk&)> begin;
+  std::function<void(MemoryDisk&)> inject;
 };
 
-const std::vector<TroubleRow> kTroubles{
+const std::vector<DiskFaultRow> kDiskFaults{
     {"no space left", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes()); }},
     {"space for a part of the record", [](MemoryDisk& disk) { disk.setCapacity(disk.bytes() + 10); }},
     {"space for the record, but not for what follows",
@@ -46,7 +46,7 @@
      "snapshot 3 4/1 5/1"},
 };
 
-void end(MemoryDisk& disk) {
+void clearDiskFaults(MemoryDisk& disk) {
   disk.setCapacity(std::nullopt);
   disk.setSyncsFail(false);
 }
@@ -59,21 +59,21 @@
 }
 
 TEST_CASE("writes rejected by a full or faulty disk are written once it accepts them") {
-  for (const TroubleRow& trouble : kTroubles) {
+  for (const DiskFaultRow& disk_fault : kDiskFaults) {
     for (const WritesRow& writes : kWrites) {
-      INFO(trouble.name << ", " << writes.name);
+      INFO(disk_fault.name << ", " << writes.name);
       MemoryDisk disk(1);
       WriteBuilder make;
       {
         const auto storage = createLogStorage(disk.open(), kMember, kSmallSegment);
         storage->recover();
         storage->persist({make.hardState(2, 1), make.entries(1, 2)});
-        const std::vector<consensus::PersistEffect> wanted = writes.make(make);
-        trouble.begin(disk);
-        if (faultOf([&] { storage->persist(wanted); }) != ResultCode::Ok) {
+        const std::vector<consensus::PersistEffect> rejected = writes.make(make);
+        disk_fault.inject(disk);
+        if (faultOf([&] { storage->persist(rejected); }) != ResultCode::Ok) {
           CHECK_FALSE(storage->unwritten().empty());
         }
-        end(disk);
+        clearDiskFaults(disk);
         writeRest(*storage);
         CHECK(storage->unwritten().empty());
       }
@@ -163,7 +163,7 @@
         } else if (random.chance(0.2)) {
           disk.setSyncsFail(true);
         } else {
-          end(disk);
+          clearDiskFaults(disk);
         }
         const std::uint64_t last = next + random.below(6);
         try {
@@ -184,7 +184,7 @@
           failed = true;
         }
       }
-      end(disk);
+      clearDiskFaults(disk);
     }
     disk.crash();
     const consensus::RecoveredState recovered = recoverFrom(disk.open());
--- a/tests/storage/needed_syncs_test.cc
+++ b/tests/storage/needed_syncs_test.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// The kind of sync that a defective file system omits.
-enum class Skipped { None, SegmentSync, SnapshotSync, FolderSync };
+enum class SkippedSync { None, SegmentSync, SnapshotSync, FolderSync };
 
 /// Forwards all operations except the syncs of one kind.
-class ForgetfulFileSystem : public FileSystem {
+class SyncSkippingFileSystem : public FileSystem {
  public:
-  ForgetfulFileSystem(std::unique_ptr<FileSystem> files, Skipped skipped)
+  SyncSkippingFileSystem(std::unique_ptr<FileSystem> files, SkippedSync skipped)
       : files_(std::move(files)), skipped_(skipped) {}
 
   std::vector<std::string> list() override { return files_->list(); }
@@ -23,28 +23,28 @@
   void rename(const std::string& from, const std::string& to) override { files_->rename(from, to); }
   void remove(const std::string& path) override { files_->remove(path); }
   void sync(const std::string& path) override {
-    const Skipped kind = isTemporaryName(path) ? Skipped::SnapshotSync : Skipped::SegmentSync;
+    const SkippedSync kind = isTemporaryName(path) ? SkippedSync::SnapshotSync : SkippedSync::SegmentSync;
     if (kind != skipped_) {
       files_->sync(path);
     }
   }
   void syncFolder() override {
-    if (skipped_ != Skipped::FolderSync) {
+    if (skipped_ != SkippedSync::FolderSync) {
       files_->syncFolder();
     }
   }
 
  private:
   std::unique_ptr<FileSystem> files_;
-  Skipped skipped_;
+  SkippedSync skipped_;
 };
 
 /// True if everything that was written is recovered after a crash; false if data is lost or recovery fails.
-bool survivesCrash(Skipped skipped, std::uint64_t seed) {
+bool survivesCrash(SkippedSync skipped, std::uint64_t seed) {
   MemoryDisk disk(seed);
   WriteBuilder make;
   {
-    auto files = std::make_unique<ForgetfulFileSystem>(disk.open(), skipped);
+    auto files = std::make_unique<SyncSkippingFileSystem>(disk.open(), skipped);
     const auto storage = createLogStorage(std::move(files), kMember, kSmallSegment);
     storage->recover();
     storage->persist({make.hardState(2, 1)});
@@ -60,14 +60,14 @@
 
 TEST_CASE("each kind of sync is needed: without it a crash loses acknowledged writes") {
   constexpr std::uint64_t kSeeds = 50;
-  for (const Skipped skipped :
-       {Skipped::None, Skipped::SegmentSync, Skipped::SnapshotSync, Skipped::FolderSync}) {
+  for (const SkippedSync skipped :
+       {SkippedSync::None, SkippedSync::SegmentSync, SkippedSync::SnapshotSync, SkippedSync::FolderSync}) {
     std::uint64_t lost = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       lost += survivesCrash(skipped, seed) ? 0 : 1;
     }
     INFO("skipped " << static_cast<int>(skipped) << ", lost " << lost);
-    CHECK((lost > 0) == (skipped != Skipped::None));
+    CHECK((lost > 0) == (skipped != SkippedSync::None));
   }
 }
 
