--- a/src/common/bounded_output.cc
+++ b/src/common/bounded_output.cc
@@ -8,7 +8,7 @@
 namespace ferryrock {
 namespace {
 
-/// A pipe that polls as writable takes this many bytes without waiting (PIPE_BUF is 4,096).
+/// Upper bound of one write: a pipe that polls as writable accepts PIPE_BUF (4,096) bytes without blocking.
 constexpr std::size_t kBytesAtOnce = 4096;
 constexpr std::size_t kLongestLine = 4000;
 
--- a/src/common/bounded_output.h
+++ b/src/common/bounded_output.h
@@ -8,9 +8,9 @@
 
 namespace ferryrock {
 
-/// Lines for a descriptor that its reader may stop reading: kept up to a bound, written only as far as the
-/// descriptor takes them at once, never waited for. What doesn't fit is dropped and counted; the count is
-/// told in a line of its own once there is room. Thread-safe.
+/// Non-blocking line buffer for a descriptor whose reader may stall. Pending lines are kept up to max_bytes
+/// and written only while the descriptor accepts them without blocking. Lines beyond the bound are dropped
+/// and counted; a log.dropped line reports the count once all pending lines are written. Thread-safe.
 class BoundedOutput {
  public:
   explicit BoundedOutput(int descriptor, std::size_t max_bytes = std::size_t{256} * 1024)
@@ -19,7 +19,8 @@
   BoundedOutput(const BoundedOutput&) = delete;
   BoundedOutput& operator=(const BoundedOutput&) = delete;
 
-  /// Queues the line and writes what can be written. A line over 4,000 bytes is cut.
+  /// Queues the line and writes as many pending lines as possible without blocking. Lines longer than
+  /// 4,000 bytes are truncated.
   void add(std::string line);
   void flush();
   std::uint64_t dropped() const;
@@ -34,7 +35,7 @@
   std::deque<std::string> lines_;
   std::size_t bytes_ = 0;
   std::uint64_t dropped_ = 0;
-  std::uint64_t untold_ = 0;  ///< dropped since the last line that told it
+  std::uint64_t untold_ = 0;  ///< lines dropped since the last log.dropped line
 };
 
 }  // namespace ferryrock
--- a/src/common/error.h
+++ b/src/common/error.h
@@ -10,7 +10,7 @@
 /// The project's exception. what() reads "CODE Name: detail (at place). remedy".
 class Error : public std::runtime_error {
  public:
-  /// place is where the fault lies (a file and line, a path in the tree, a field); empty when there is none.
+  /// place locates the fault (a file and line, a path in the settings tree, a field); empty if there is none.
   Error(ResultCode code, std::string detail, std::string place = {});
 
   ResultCode code() const { return code_; }
--- a/src/common/event_log.cc
+++ b/src/common/event_log.cc
@@ -12,7 +12,7 @@
 namespace ferryrock {
 namespace {
 
-/// Tokens of one kind of line; refilled with time.
+/// Token bucket of one event name.
 struct KindRate {
   double tokens = 0;
   TimePoint refilled{};
@@ -76,7 +76,8 @@
   EventLogLimits limits;
   std::map<std::string, KindRate, std::less<>> rates;
 
-  /// Number of lines left out before this one; a negative number leaves this one out.
+  /// Returns the number of lines suppressed since the last admitted line of this event name, or -1 if the
+  /// rate limit suppresses this line.
   std::int64_t admit(std::string_view event) {
     const TimePoint now = time_source.monotonicTime();
     auto found = rates.find(event);
--- a/src/common/event_log.h
+++ b/src/common/event_log.h
@@ -18,29 +18,29 @@
   std::variant<std::string_view, std::int64_t, double, bool> value;
 };
 
-/// Takes what a process decides and believes as structured lines: a name of the kind of event and fields.
-/// Logic is handed one, so that it needs no output of its own.
+/// Sink for structured log lines, each with an event name and fields, that record a process's decisions and
+/// its view of the system. It is injected into logic classes, so that they do no I/O of their own.
 class EventLog {
  public:
   virtual ~EventLog() = default;
-  /// event is a constant such as "call.sent"; it names the kind whose rate is bounded.
+  /// event is a constant such as "call.sent"; rate limits apply per event name.
   virtual void write(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) = 0;
 };
 
-/// Drops everything.
+/// Discards all lines.
 class NoEventLog : public EventLog {
  public:
   void write(LogLevel, std::string_view, std::initializer_list<LogField>) override {}
 };
 
-/// Bounds on what a process logs.
+/// Rate limits of a process's event log, per event name.
 struct EventLogLimits {
-  double lines_per_second = 100;  ///< of one kind, beyond its burst
-  double burst = 300;             ///< lines of one kind
+  double lines_per_second = 100;  ///< sustained rate per event name, after the burst
+  double burst = 300;             ///< lines per event name
 };
 
-/// Lines go through the logging library. A kind over its rate is left out; the next line of it that passes
-/// tells how many were. Used by one thread.
+/// Writes lines through the logging library. Lines beyond the rate limit of their event name are suppressed;
+/// the next admitted line of that name reports how many in its field left_out. Used by one thread.
 class RateLimitedEventLog : public EventLog {
  public:
   RateLimitedEventLog(TimeSource& time_source, std::string part, EventLogLimits limits);
@@ -52,7 +52,7 @@
   std::unique_ptr<State> state_;
 };
 
-/// {"time":..,"level":..,"part":..,"event":..,fields}; the time is left to the caller.
+/// Formats {"time":..,"level":..,"part":..,"event":..,fields}; the caller supplies the time.
 std::string eventLine(std::string_view time, LogLevel level, std::string_view part, std::string_view event,
                       std::initializer_list<LogField> fields, std::uint64_t left_out);
 
--- a/src/common/json_text.h
+++ b/src/common/json_text.h
@@ -5,7 +5,7 @@
 
 namespace ferryrock {
 
-/// Appends the text in quotes, with what JSON wants escaped.
+/// Appends the text as a quoted JSON string, with escapes where JSON requires them.
 void appendJsonString(std::string& line, std::string_view text);
 
 }  // namespace ferryrock
--- a/src/common/log_settings.h
+++ b/src/common/log_settings.h
@@ -5,8 +5,8 @@
 
 namespace ferryrock {
 
-/// The section `log` of a process's settings file: level, format, file. Throws Error with the file, line and
-/// key of the first fault.
+/// Reads the section `log` of a process's settings file: level, format, file. Throws Error with the file,
+/// line and key of the first fault.
 LogSettings readLogSettings(SettingsReader reader);
 
 }  // namespace ferryrock
--- a/src/common/logging.cc
+++ b/src/common/logging.cc
@@ -21,7 +21,7 @@
 namespace ferryrock {
 namespace {
 
-/// Lives as long as the process; log4cplus must outlast every logger.
+/// Exists until the process exits, because log4cplus must outlive every logger.
 log4cplus::Initializer& initializer() {
   static log4cplus::Initializer instance;
   return instance;
@@ -68,7 +68,7 @@
   return line + '}';
 }
 
-/// Appends to a BoundedOutput on standard output.
+/// Writes to standard output through a BoundedOutput.
 class BoundedAppender : public log4cplus::Appender {
  public:
   BoundedAppender() : output_(STDOUT_FILENO) {}
--- a/src/common/logging.h
+++ b/src/common/logging.h
@@ -8,28 +8,29 @@
 enum class LogLevel { Debug, Info, Warning, Error };
 enum class LogFormat { Text, Json };
 
-/// Where and how log lines are written; set once before the first line.
+/// Destination and format of log lines; set once before the first line.
 struct LogSettings {
   LogLevel level = LogLevel::Info;
   LogFormat format = LogFormat::Text;
-  std::string file;  ///< empty: standard error
-  /// To standard output without ever waiting for its reader; lines that find no room are dropped and counted.
+  std::string file;  ///< empty means standard error
+  /// Writes to standard output without ever blocking on its reader; lines beyond the buffer's bound are
+  /// dropped and counted. Takes precedence over `file`.
   bool bounded_standard_output = false;
 };
 
-/// Configures log4cplus for the process. Call from the main thread before others start.
+/// Configures log4cplus for the process. Called on the main thread before other threads start.
 void configureLogging(const LogSettings& settings);
 
-/// "debug", "info", "warning" or "error".
+/// Returns "debug", "info", "warning" or "error".
 const char* levelName(LogLevel level);
 /// True when lines of this level are written.
 bool logEnabled(LogLevel level);
-/// Writes one finished line.
+/// Writes one formatted line.
 void logLine(LogLevel level, const std::string& line);
-/// The time of day as log lines carry it.
+/// Returns the current UTC time in the format of log lines, e.g. 2030-01-31T12:00:00.250Z.
 std::string logTimestamp();
 
-/// Writes short sentences with a fixed prefix per part, e.g. "[router] ...". Thread-safe, cheap to copy.
+/// Writes log messages with the fixed prefix of a component, e.g. "[router] ...". Thread-safe, cheap to copy.
 class Logger {
  public:
   /// part is the fixed prefix: "router", "control", "consensus", "placement", ...
--- a/src/common/metrics.h
+++ b/src/common/metrics.h
@@ -11,10 +11,10 @@
 
 namespace ferryrock {
 
-/// Labels of one series; few values per label, never an identifier of a request.
+/// Labels of one series. Labels must have low cardinality; a request identifier is never a label.
 using MetricLabels = std::map<std::string, std::string>;
 
-/// Monotone count; owned by the registry.
+/// Monotonic counter; owned by the registry.
 class Counter {
  public:
   virtual ~Counter() = default;
@@ -22,7 +22,7 @@
   virtual double value() const = 0;
 };
 
-/// Value that moves both ways; owned by the registry.
+/// Value that may increase and decrease; owned by the registry.
 class Gauge {
  public:
   virtual ~Gauge() = default;
@@ -30,20 +30,21 @@
   virtual double value() const = 0;
 };
 
-/// Distribution over fixed buckets; owned by the registry.
+/// Histogram with fixed buckets; owned by the registry.
 class HistogramMetric {
  public:
   virtual ~HistogramMetric() = default;
   virtual void observe(double value) = 0;
 };
 
-/// The process's metrics, written in Prometheus text format. Thread-safe.
+/// Metrics of the process, serialized in Prometheus text format. Thread-safe.
 class MetricsRegistry {
  public:
   MetricsRegistry();
   ~MetricsRegistry();
 
-  /// Returns the series, made at the first call; the reference lives as long as the registry.
+  /// Returns the series and creates it at the first call; the reference is valid as long as the registry
+  /// exists.
   Counter& counter(const std::string& name, const std::string& help, const MetricLabels& labels = {});
   Gauge& gauge(const std::string& name, const std::string& help, const MetricLabels& labels = {});
   HistogramMetric& histogram(const std::string& name, const std::string& help,
--- a/src/common/quantity.cc
+++ b/src/common/quantity.cc
@@ -13,7 +13,7 @@
 
 struct Unit {
   std::string_view suffix;
-  double scale;  ///< nanoseconds or bytes in one unit
+  double scale;  ///< nanoseconds or bytes per unit
 };
 
 constexpr std::array kDurationUnits = {Unit{"ns", 1},   Unit{"us", 1e3},   Unit{"ms", 1e6},   Unit{"s", 1e9},
--- a/src/common/random.h
+++ b/src/common/random.h
@@ -5,7 +5,8 @@
 
 namespace ferryrock {
 
-/// Seeded source of random numbers, injected into logic so that a run can be replayed. Not thread-safe.
+/// Seeded pseudo-random generator, injected into logic classes so that a run can be replayed. Not
+/// thread-safe.
 class Random {
  public:
   explicit Random(std::uint64_t seed);
@@ -29,7 +30,7 @@
   std::unique_ptr<Generator> generator_;
 };
 
-/// A seed from the operating system, for processes that aren't replayed.
+/// Returns a seed from the operating system, for processes whose runs aren't replayed.
 std::uint64_t systemSeed();
 
 }  // namespace ferryrock
--- a/src/common/result_code.h
+++ b/src/common/result_code.h
@@ -5,13 +5,13 @@
 
 namespace ferryrock {
 
-/// Numbered results that the project reports to callers, operators and logs. Numbers are never reused.
-/// The table in result_code.cc holds the name, HTTP status and texts; docs/RESULT_CODES.md shows the same
-/// table.
+/// Numbered results that are reported to callers and operators and written to logs. Numbers are never reused.
+/// The table in result_code.cc contains the name, HTTP status and texts of each code;
+/// docs/RESULT_CODES.md shows the same table.
 enum class ResultCode : int {
   Ok = 0,
 
-  // 1xxx: the request itself.
+  // 1xxx: invalid requests.
   MalformedBody = 1001,
   BodyTooLarge = 1002,
   UnknownModel = 1003,
@@ -23,7 +23,7 @@
   UnknownRoute = 1009,
   UnknownKey = 1010,
 
-  // 2xxx: refusals and failures of a request that was well formed.
+  // 2xxx: rejections and failures of well-formed requests.
   DeadlineTooShort = 2001,
   DeadlineExpiredInQueue = 2002,
   QueueFull = 2003,
@@ -51,7 +51,7 @@
   ReplicaBackoff = 2025,
   ReplicaLimited = 2026,
 
-  // 3xxx: operators' changes and reads.
+  // 3xxx: changes and reads by operators.
   VersionConflict = 3001,
   InvalidTree = 3002,
   NotLeader = 3003,
@@ -98,7 +98,7 @@
   PeerNotAllowed = 6003,
   PeerUnreachable = 6004,
 
-  // 7xxx: orders to engines and placement.
+  // 7xxx: engine orders and placement.
   FenceTooLow = 7001,
   WrongIncarnation = 7002,
   MemoryWouldOvercommit = 7003,
@@ -107,7 +107,7 @@
   LoadFailed = 7006,
   WrongSlotState = 7007,
 
-  // 9xxx: faults of the program.
+  // 9xxx: internal errors.
   Internal = 9001,
 };
 
@@ -115,15 +115,15 @@
 struct ResultCodeInfo {
   ResultCode code;
   std::string_view name;     ///< the enumerator's name
-  int http_status;           ///< status of an HTTP answer that carries the code
-  std::string_view meaning;  ///< what happened, one sentence
-  std::string_view remedy;   ///< what the reader of the message can do
+  int http_status;           ///< status of an HTTP response that carries the code
+  std::string_view meaning;  ///< one sentence that describes the result
+  std::string_view remedy;   ///< recommended action for the reader of the message
 };
 
 /// The whole table, ordered by number.
 std::span<const ResultCodeInfo> resultCodeTable();
 
-/// The row of a code. Throws std::out_of_range for a number that the table doesn't hold.
+/// Returns the row of a code. Throws std::out_of_range for a code that isn't in the table.
 const ResultCodeInfo& resultCodeInfo(ResultCode code);
 
 }  // namespace ferryrock
--- a/src/common/settings_reader.h
+++ b/src/common/settings_reader.h
@@ -15,23 +15,22 @@
 
 namespace ferryrock {
 
-/// Reads one YAML mapping with every key checked: each get marks its key as known, finish() refuses the rest.
-/// Errors carry the code, "file:line", the dotted path of the key and the remedy. Not thread-safe.
+/// Reads one YAML mapping strictly: each getter marks its key as known, and finish() rejects all other keys.
+/// Errors contain the code, "file:line", the dotted path of the key and the remedy. Not thread-safe.
 class SettingsReader {
  public:
   /// Parses a file. Throws UnreadableFile or InvalidYaml.
   static SettingsReader fromFile(const std::string& file);
-  /// Parses text; name stands for the file in errors.
+  /// Parses text; errors show name as the file name.
   static SettingsReader fromText(const std::string& text, const std::string& name);
   ~SettingsReader();
   SettingsReader(SettingsReader&&) noexcept;
 
   bool has(const std::string& key) const;
-  /// The getters throw MissingSetting when the key is absent; the variants with a fallback return that
-  /// instead.
+  /// Getters without a fallback throw MissingSetting if the key is absent; the others return the fallback.
   std::string text(const std::string& key);
   std::string text(const std::string& key, const std::string& fallback);
-  /// Integer in [low, high], else SettingOutOfRange.
+  /// Integer in [low, high]; other values throw SettingOutOfRange.
   std::int64_t integer(const std::string& key, std::int64_t low, std::int64_t high);
   std::int64_t integer(const std::string& key, std::int64_t low, std::int64_t high, std::int64_t fallback);
   double number(const std::string& key, double low, double high);
@@ -53,9 +52,9 @@
   std::vector<SettingsReader> sections(const std::string& key);
   /// Keys of this mapping in file order.
   std::vector<std::string> keys() const;
-  /// "file:line" of a key, or of the mapping when the key is empty.
+  /// Returns "file:line" of a key, or of the mapping if the key is empty.
   std::string place(const std::string& key = {}) const;
-  /// Throws UnknownSetting for the first key that no getter asked for.
+  /// Throws UnknownSetting for the first key that no getter has read.
   void finish() const;
 
  private:
--- a/src/common/time.h
+++ b/src/common/time.h
@@ -6,10 +6,11 @@
 
 namespace ferryrock {
 
-/// Length of time. Every duration of the project has nanosecond resolution.
+/// Duration with nanosecond resolution, used throughout the code base.
 using Duration = std::chrono::nanoseconds;
 
-/// Tag type of the clock that logic is handed; it is read by shells and by the simulator, never by logic.
+/// Tag type of the monotonic clock. Shells and the simulator read the clock and pass the time to logic
+/// classes, which never read it themselves.
 struct MonotonicClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -18,18 +19,17 @@
   static constexpr bool is_steady = true;
 };
 
-/// Instant on the clock of one process; never compared with an instant of another process.
+/// Point in time on the monotonic clock of one process; not comparable with those of other processes.
 using TimePoint = MonotonicClock::time_point;
 
-/// Milliseconds since the Unix epoch; for people and records, never for ordering.
+/// Milliseconds since the Unix epoch; for display and records only, never for ordering.
 using WallMilliseconds = std::int64_t;
 
-/// The system's clock behind every TimePoint. Unlike the steady clock it goes on while the machine is
-/// suspended, so that what was promised for some seconds ends after these seconds for whoever slept through
-/// them, too.
+/// System clock behind every TimePoint. Unlike CLOCK_MONOTONIC it advances while the machine is suspended, so
+/// that leases and deadlines expire on time on a machine that was suspended meanwhile.
 inline constexpr clockid_t kMonotonicClock = CLOCK_BOOTTIME;
 
-/// Source of time. The real one reads kMonotonicClock; the simulator supplies a virtual one.
+/// Source of time: the system implementation reads kMonotonicClock, the simulator provides virtual time.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
@@ -44,17 +44,17 @@
   WallMilliseconds wallTime() override;
 };
 
-/// Whole milliseconds of a duration, rounded towards zero.
+/// Converts a duration to whole milliseconds, rounded towards zero.
 constexpr std::int64_t toMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// Seconds with their fraction.
+/// Converts a duration to fractional seconds.
 constexpr double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// The duration of so many seconds, rounded towards zero to whole nanoseconds.
+/// Converts seconds to a duration, rounded towards zero to whole nanoseconds.
 constexpr Duration fromSeconds(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
--- a/tests/common/event_log_test.cc
+++ b/tests/common/event_log_test.cc
@@ -10,7 +10,9 @@
 namespace ferryrock {
 namespace {
 
-TEST_CASE("A reader that stops reading costs lines, told once it reads again, and never a wait") {
+TEST_CASE(
+    "A stalled reader of the log output never blocks the writer; dropped lines are counted and reported "
+    "later") {
   int ends[2] = {-1, -1};
   REQUIRE(::pipe(ends) == 0);
   constexpr std::size_t kBound = 10'000;
@@ -35,7 +37,7 @@
   ::close(ends[1]);
 }
 
-TEST_CASE("A line has its fields with their types, escaped, and the count of lines left out") {
+TEST_CASE("An event line contains its typed and escaped fields and the number of suppressed lines") {
   const std::string line = eventLine("t", LogLevel::Warning, "router", "call.refused",
                                      {{"request", std::string_view("a\"b\n")},
                                       {"code", std::int64_t{2006}},
--- a/tests/common/quantity_test.cc
+++ b/tests/common/quantity_test.cc
@@ -23,7 +23,7 @@
   CHECK(parseDuration("7d") == std::chrono::hours(168));
 }
 
-TEST_CASE("a quantity that isn't one is refused with its code") {
+TEST_CASE("malformed quantities are rejected with the matching result code") {
   CHECK(codeOfDuration("250") == ResultCode::MissingUnit);
   CHECK(codeOfDuration("") == ResultCode::WrongSettingType);
   CHECK(codeOfDuration("-1s") == ResultCode::WrongSettingType);
--- a/tests/common/result_code_test.cc
+++ b/tests/common/result_code_test.cc
@@ -20,7 +20,7 @@
   return row.str();
 }
 
-TEST_CASE("docs/RESULT_CODES.md shows the table of the code") {
+TEST_CASE("docs/RESULT_CODES.md matches the result code table") {
   std::ifstream page(std::string(FERRYROCK_SOURCE_DIR) + "/docs/RESULT_CODES.md");
   REQUIRE(page);
   std::vector<std::string> rows;
@@ -36,7 +36,7 @@
   CHECK(rows == expected);
 }
 
-TEST_CASE("docs/OPERATIONS.md names codes by their numbers, and every refusal of a router") {
+TEST_CASE("docs/OPERATIONS.md names result codes by their correct numbers and covers all 2xxx codes") {
   std::ifstream file(std::string(FERRYROCK_SOURCE_DIR) + "/docs/OPERATIONS.md");
   REQUIRE(file);
   const std::string page{std::istreambuf_iterator<char>(file), {}};
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("the numbers rise and so are unique") {
+TEST_CASE("result code numbers are strictly increasing and thus unique") {
   int previous = -1;
   for (const ResultCodeInfo& info : resultCodeTable()) {
     CHECK(static_cast<int>(info.code) > previous);
--- a/tests/common/settings_reader_test.cc
+++ b/tests/common/settings_reader_test.cc
@@ -24,7 +24,7 @@
   reader.finish();
 }
 
-TEST_CASE("each fault of a settings file names its code and line") {
+TEST_CASE("each fault of a settings file is reported with its code and line") {
   const auto fault = GENERATE(values<FaultCase>({
       {"unknown key", "port: 1\nprot: 2\n", ResultCode::UnknownSetting, "node.yaml:2"},
       {"unknown nested key", "port: 1\nlimits:\n  memroy: 2B\n", ResultCode::UnknownSetting, "node.yaml:3"},
