--- a/src/event/ace_dispatcher.cc
+++ b/src/event/ace_dispatcher.cc
@@ -35,8 +35,8 @@
 constexpr std::size_t kMaximumTimers = 100'000;
 constexpr std::size_t kMaximumReactorHandles = 1024;
 
-/// Clock of the timer queue: steps of the system's date don't move timers, and those that fell due while the
-/// machine was suspended run once it wakes.
+/// Clock of the timer queue: changes of the wall clock don't affect timers, and timers that expire while the
+/// machine is suspended run when it resumes.
 ACE_Time_Value monotonicNow() {
   timespec now{};
   ::clock_gettime(kMonotonicClock, &now);
@@ -55,8 +55,8 @@
 
 class AceDispatcher;
 
-/// One-shot timer in the reactor's queue. The queue holds its number, not its address, so a late expiry is
-/// harmless.
+/// One-shot timer in the reactor's queue. The queue stores the number of the expiry instead of the timer's
+/// address, so an expiry that is delivered after the timer's destruction is ignored.
 class AceTimer : public Timer {
  public:
   AceTimer(AceDispatcher& dispatcher, Callback callback)
@@ -69,11 +69,11 @@
  private:
   AceDispatcher& dispatcher_;
   std::shared_ptr<Callback> callback_;
-  std::uint64_t expiry_ = 0;  ///< number of the armed expiry; 0: disarmed
+  std::uint64_t expiry_ = 0;  ///< number of the armed expiry; 0 if disarmed
   long queue_id_ = -1;
 };
 
-/// Binds the reactor's upcalls to the dispatcher; the only handler that is ever registered.
+/// Forwards the reactor's upcalls to the dispatcher; the only registered handler.
 class ReactorHandler : public ACE_Event_Handler {
  public:
   explicit ReactorHandler(AceDispatcher& dispatcher) : dispatcher_(dispatcher) {}
@@ -86,8 +86,8 @@
   AceDispatcher& dispatcher_;
 };
 
-/// Descriptor that becomes readable at an instant of the monotonic clock. The reactor's own waits are cut to
-/// whole milliseconds, so that it would poll without pause for the last part of one.
+/// Timer descriptor that becomes readable at a point in time of the monotonic clock. The reactor truncates
+/// its own timeouts to whole milliseconds and would busy-poll during the last fraction of a millisecond.
 class Alarm {
  public:
   Alarm() : descriptor_(::timerfd_create(kMonotonicClock, TFD_NONBLOCK | TFD_CLOEXEC)) {
@@ -101,7 +101,8 @@
 
   int descriptor() const { return descriptor_; }
 
-  /// Keeps an earlier instant; a wake-up too early costs less than setting it back.
+  /// Arms the descriptor unless it is already armed for an earlier instant: an early wake-up is cheaper than
+  /// re-arming the timer.
   void wakeAt(const ACE_Time_Value& instant) {
     if (set_ && *set_ <= instant) {
       return;
@@ -124,7 +125,7 @@
   std::optional<ACE_Time_Value> set_;
 };
 
-/// Signals that have arrived, and the descriptor that wakes the loop for them. Written by signal handlers.
+/// Pending signals and the event descriptor that wakes the loop for them. Written by signal handlers.
 class SignalInbox {
  public:
   SignalInbox() : descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
@@ -157,14 +158,14 @@
   std::array<std::atomic<bool>, NSIG> arrived_{};
 };
 
-/// The number of descriptors that the process may have open, as it was before the reactor was opened: ACE
-/// lowers it to the reactor's size, though all descriptors but two are watched beside the reactor.
+/// Saves the process's limit of open files before the reactor is opened and restores it afterwards: ACE
+/// lowers the limit to the reactor's size, although all descriptors but two are watched outside the reactor.
 class OpenFileLimit {
  public:
   OpenFileLimit() { known_ = ::getrlimit(RLIMIT_NOFILE, &limit_) == 0; }
   void restore() const {
     if (known_ && ::setrlimit(RLIMIT_NOFILE, &limit_) != 0) {
-      throw Error(ResultCode::Internal, "the number of open files can't be set back");
+      throw Error(ResultCode::Internal, "the limit of open files (RLIMIT_NOFILE) can't be restored");
     }
   }
 
@@ -248,7 +249,8 @@
     wake();
   }
 
-  /// Runs a callback within an upcall of the reactor, which no exception may leave.
+  /// Runs a callback within an upcall of the reactor. Exceptions must not propagate into the reactor; run()
+  /// rethrows them.
   template <class Function>
   void guarded(Function function) {
     try {
@@ -263,7 +265,7 @@
   DescriptorSet& descriptors() { return descriptors_; }
   SignalInbox& signals() { return signals_; }
 
-  /// Number of an expiry in the timer queue, and the queue's own identifier of it.
+  /// Number of an expiry and the timer queue's identifier of it.
   struct Expiry {
     std::uint64_t number = 0;
     long queue_id = -1;
@@ -272,7 +274,7 @@
   Expiry schedule(AceTimer& timer, Duration delay) {
     const std::uint64_t number = next_expiry_++;
     const ACE_Time_Value due = monotonicNow() + toAce(delay);
-    // ACE keeps the number for the handler as a pointer; it is never followed.
+    // ACE stores the number as the handler's pointer argument; it is never dereferenced.
     // NOLINTNEXTLINE(performance-no-int-to-ptr)
     const long queue_id = timer_queue_.schedule(&handler_, reinterpret_cast<const void*>(number), due);
     if (queue_id < 0) {
@@ -295,15 +297,15 @@
   }
 
  private:
-  /// The loop looks at the posted callbacks before it waits, so its own thread needs no wake-up.
+  /// The loop checks for posted callbacks before it waits, so calls on its own thread need no wake-up.
   void wake() {
     if (std::this_thread::get_id() != loop_thread_.load()) {
       reactor_.notify(&handler_, ACE_Event_Handler::EXCEPT_MASK);
     }
   }
 
-  /// Runs what was posted up to now; what these callbacks post waits for the next round, so that input isn't
-  /// starved.
+  /// Runs the callbacks posted so far. Callbacks that they post run in the next iteration of the loop, so
+  /// that I/O isn't starved.
   void runPosted() {
     std::deque<Callback> batch;
     {
@@ -320,7 +322,7 @@
     return !posted_.empty();
   }
 
-  /// Waits for one event of the reactor, or only looks for one while posted callbacks are due.
+  /// Waits for one event of the reactor; polls without waiting while posted callbacks are pending.
   void handleReactorEvents() {
     ACE_Time_Value no_wait = ACE_Time_Value::zero;
     const int handled = anyPosted() ? reactor_.handle_events(no_wait) : reactor_.handle_events();
@@ -348,9 +350,9 @@
   }
 
   SystemTimeSource time_source_;
-  OpenFileLimit open_file_limit_;  ///< read before the reactor is opened
+  OpenFileLimit open_file_limit_;  ///< saved before the reactor is opened
   MonotonicTimerQueue timer_queue_;
-  ReactorHandler handler_;  ///< outlives the reactor, which lets go of notifications that wait when it closes
+  ReactorHandler handler_;  ///< outlives the reactor, which releases pending notifications when it closes
   ACE_Dev_Poll_Reactor poll_reactor_;
   ACE_Reactor reactor_;
   DescriptorSet descriptors_;
@@ -385,7 +387,7 @@
 
 void AceTimer::expire() {
   dispatcher_.forget(std::exchange(expiry_, 0));
-  const std::shared_ptr<Callback> callback = callback_;  // outlives a timer that is destroyed within it
+  const std::shared_ptr<Callback> callback = callback_;  // keeps the callback valid if it destroys the timer
   (*callback)();
 }
 
--- a/src/event/descriptor_set.cc
+++ b/src/event/descriptor_set.cc
@@ -71,7 +71,8 @@
     }
   }
 
-  /// Without interest the descriptor leaves the epoll set: an error would be reported there for ever.
+  /// A descriptor without events of interest is removed from the epoll set, because epoll would keep
+  /// reporting its errors.
   void setEvents(unsigned events) override {
     if (events == events_) {
       return;
@@ -91,7 +92,8 @@
     if (ready == 0) {
       return;
     }
-    const std::shared_ptr<EventCallback> callback = callback_;  // outlives a watch that ends within it
+    const std::shared_ptr<EventCallback> callback =
+        callback_;  // keeps the callback valid if it destroys the watch
     (*callback)(ready);
   }
 
--- a/src/event/descriptor_set.h
+++ b/src/event/descriptor_set.h
@@ -9,9 +9,10 @@
 
 namespace ferryrock::event {
 
-/// Watched descriptors behind one epoll descriptor, which a reactor watches as a whole. ACE_Dev_Poll_Reactor
-/// fetches and re-arms one event per system call; the set fetches many at once. Watches may be made, changed
-/// and destroyed within callbacks; events of a destroyed watch are dropped. Used by one thread.
+/// Set of watched descriptors behind one epoll descriptor, which is registered with a reactor.
+/// ACE_Dev_Poll_Reactor fetches and re-arms one event per system call; the set fetches events in batches.
+/// Watches may be created, changed and destroyed within callbacks; pending events of a destroyed watch are
+/// discarded. Used by one thread.
 class DescriptorSet {
  public:
   using EventCallback = std::function<void(unsigned)>;
@@ -22,11 +23,11 @@
   DescriptorSet(const DescriptorSet&) = delete;
   DescriptorSet& operator=(const DescriptorSet&) = delete;
 
-  /// Readable while any watched descriptor is ready.
+  /// The epoll descriptor, which is readable while any watched descriptor is ready.
   int descriptor() const { return epoll_; }
   /// Throws Error Internal for a descriptor that can't be watched.
   std::unique_ptr<FileWatch> watch(int descriptor, unsigned events, EventCallback callback);
-  /// Calls back for the events that are ready now, at most one batch.
+  /// Dispatches at most one batch of ready events without blocking.
   void dispatchReady();
 
  private:
--- a/src/process/address_file.h
+++ b/src/process/address_file.h
@@ -6,14 +6,14 @@
 
 namespace ferryrock::process {
 
-/// Where a process listens, once ports of number 0 have been chosen by the system.
+/// Listen addresses of a process, with the ports that the system has chosen for port 0.
 struct ListenAddresses {
   NodeName node;
-  std::string internal;  ///< "host:port"; empty: the process only connects
+  std::string internal;  ///< "host:port"; empty if the process doesn't listen for internal connections
   std::string http;      ///< base URL
 };
 
-/// Writes addresses.json into the data folder, for scripts.
+/// Writes addresses.json to the data folder, for use by scripts. The file is replaced atomically.
 void writeAddressFile(const std::string& data_folder, const ListenAddresses& addresses);
 
 }  // namespace ferryrock::process
--- a/src/process/platform_list.cc
+++ b/src/process/platform_list.cc
@@ -20,7 +20,7 @@
   if (word == "gone") {
     return MachineState::Gone;
   }
-  throw Error(ResultCode::MalformedMessage, "the machine state '" + word + "' isn't known");
+  throw Error(ResultCode::MalformedMessage, "unknown machine state '" + word + "'");
 }
 
 control::MachineRecord readMachine(const json& object) {
--- a/src/process/platform_list.h
+++ b/src/process/platform_list.h
@@ -4,7 +4,7 @@
 
 #include "control/engine_orders.h"
 
-/// The platform's list of machines, as docs/ENGINE_PROTOCOL.md has it.
+/// Parser of the platform's machine list; docs/ENGINE_PROTOCOL.md describes the format.
 namespace ferryrock::process {
 
 /// Throws Error MalformedMessage.
--- a/src/process/platform_poller.cc
+++ b/src/process/platform_poller.cc
@@ -39,7 +39,7 @@
   callbacks.on_complete = [this] { complete(); };
   callbacks.on_failure = [this](http::SendProgress, const std::string& reason) {
     if (std::exchange(reachable_, false)) {
-      logger().warning("The platform's list can't be read: " + reason + ".");
+      logger().warning("The platform's machine list can't be read from " + url_ + ": " + reason + ".");
     }
     pollAgain();
   };
@@ -50,11 +50,11 @@
   try {
     const control::MachineList list = parseMachineList(body_);
     if (!std::exchange(reachable_, true)) {
-      logger().info("The platform's list can be read again.");
+      logger().info("The platform's machine list can be read again.");
     }
     on_list_(list);
   } catch (const Error& fault) {
-    logger().warning("The platform's list isn't valid: " + fault.detail() + ".");
+    logger().warning("The platform's machine list is invalid: " + fault.detail() + ".");
   }
   pollAgain();
 }
--- a/src/process/platform_poller.h
+++ b/src/process/platform_poller.h
@@ -10,7 +10,7 @@
 
 namespace ferryrock::process {
 
-/// Reads the platform's list of machines again and again.
+/// Polls the platform's machine list and passes each valid list to the callback.
 class PlatformPoller {
  public:
   using ListCallback = std::function<void(const control::MachineList&)>;
--- a/src/process/shared_settings.cc
+++ b/src/process/shared_settings.cc
@@ -11,7 +11,7 @@
 namespace ferryrock::process {
 namespace {
 
-/// True for a CURVE key in Z85: 8 groups of 5 digits to the base 85, each worth less than 2^32.
+/// Returns true for a Z85-encoded CURVE key: 8 groups of 5 base-85 digits, each with a value below 2^32.
 bool isKey(std::string_view text) {
   constexpr std::string_view kDigits =
       "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ.-:+=^!/*?&<>()[]{}@%$#";
@@ -73,7 +73,7 @@
   std::string key = readTextFile(keys.secret_key_file);
   if (!isKey(key)) {
     throw Error(ResultCode::SettingOutOfRange,
-                "the file doesn't hold a secret key that 'ferryrock keys generate' wrote",
+                "the file doesn't contain a secret key written by 'ferryrock keys generate'",
                 keys.secret_key_file);
   }
   return key;
--- a/tests/event/dispatcher_test.cc
+++ b/tests/event/dispatcher_test.cc
@@ -26,7 +26,7 @@
   std::array<int, 2> ends{};
 };
 
-TEST_CASE("a dispatcher leaves the process the number of open files that it was given") {
+TEST_CASE("creating a dispatcher doesn't lower the process's limit of open files") {
   rlimit given{};
   REQUIRE(::getrlimit(RLIMIT_NOFILE, &given) == 0);
   constexpr rlim_t kMoreThanTheReactorNeeds = 3'000;
@@ -140,7 +140,7 @@
   CHECK(seen == example.expected);
 }
 
-TEST_CASE("interest changes take effect, also within callbacks and down to none") {
+TEST_CASE("changes of the events of interest take effect, also within callbacks and down to none") {
   const auto dispatcher = createAceDispatcher();
   const SocketPair pair;
   std::vector<unsigned> seen;
@@ -156,7 +156,7 @@
   CHECK(seen == std::vector<unsigned>{kWritable, kReadable});
 }
 
-TEST_CASE("a watch destroyed in another one's callback reports nothing more") {
+TEST_CASE("a watch destroyed in another watch's callback reports no further events") {
   const auto dispatcher = createAceDispatcher();
   const SocketPair first;
   const SocketPair second;
@@ -216,7 +216,7 @@
   CHECK(count == kThreads * kPostsPerThread);
 }
 
-TEST_CASE("a dispatcher may be destroyed while callbacks that were posted outside of run wait") {
+TEST_CASE("a dispatcher may be destroyed while callbacks posted outside of run are pending") {
   int calls = 0;
   for (int round = 0; round < 100; ++round) {
     const auto dispatcher = createAceDispatcher();
@@ -238,7 +238,7 @@
   CHECK_NOTHROW(dispatcher->run());
 }
 
-TEST_CASE("a signal calls back on the loop") {
+TEST_CASE("a signal callback runs on the loop's thread") {
   const auto dispatcher = createAceDispatcher();
   const std::thread::id loop = std::this_thread::get_id();
   int calls = 0;
@@ -255,7 +255,7 @@
   CHECK(calls == 2);
 }
 
-TEST_CASE("an exception of a callback ends run with it, and run may begin anew") {
+TEST_CASE("an exception thrown by a callback propagates out of run, and run may be called again") {
   const auto dispatcher = createAceDispatcher();
   const SocketPair pair;
   const auto timer = dispatcher->createTimer([] { throw std::runtime_error("timer"); });
--- a/tests/event/suspended_machine.cc
+++ b/tests/event/suspended_machine.cc
@@ -12,7 +12,7 @@
 std::atomic<std::int64_t> suspended_nanoseconds = 0;
 std::atomic<clockid_t> last_timer_clock = -1;
 
-/// What a timer descriptor was last set to.
+/// Latest setting of a timer descriptor.
 struct TimerSetting {
   int descriptor = -1;
   int flags = 0;
@@ -34,7 +34,7 @@
   return last_timer_clock;
 }
 
-/// The clock as the program sees it.
+/// Reads the clock with the simulated suspended time added.
 int readClock(clockid_t clock, timespec* time) {
   const long result = ::syscall(SYS_clock_gettime, clock, time);
   if (result == 0 && clock == CLOCK_BOOTTIME) {
@@ -48,7 +48,7 @@
   return static_cast<int>(::syscall(SYS_timerfd_create, clock, flags));
 }
 
-/// The kernel's clock hasn't slept, so an instant of the program's is told to it in the kernel's time.
+/// The kernel's clock lacks the simulated suspended time, so an absolute expiry is converted to kernel time.
 int armInKernel(const TimerSetting& timer, itimerspec* before) {
   itimerspec kernels = timer.setting;
   if (last_timer_clock == CLOCK_BOOTTIME && (timer.flags & TFD_TIMER_ABSTIME) != 0) {
@@ -62,7 +62,8 @@
   return armInKernel(last_timer, before);
 }
 
-/// Wakes whoever waits for a timer that fell due meanwhile, as the kernel does.
+/// Re-arms the last timer, so that a timer that expired during the suspension fires at once, as in the
+/// kernel.
 void suspendMachine(Duration duration) {
   suspended_nanoseconds += duration.count();
   if (last_timer.descriptor >= 0) {
--- a/tests/event/suspended_machine.h
+++ b/tests/event/suspended_machine.h
@@ -4,14 +4,14 @@
 
 #include "common/time.h"
 
-/// A machine that was suspended, as this program sees it: the clocks that count such time have gone on, those
-/// that don't have stood still. The program's own clock_gettime() and timerfd_create() go before the C
-/// library's.
+/// Simulates a suspension of the machine: clocks that include suspended time advance, other clocks stand
+/// still. The test program defines clock_gettime(), timerfd_create() and timerfd_settime(), which override
+/// the C library's functions.
 namespace ferryrock::event {
 
-/// The machine was suspended for so long just now.
+/// Simulates a suspension of the given duration that ends now.
 void suspendMachine(Duration duration);
-/// Clock of the timer descriptor that was created last.
+/// Returns the clock of the most recently created timer descriptor.
 clockid_t lastTimerClock();
 
 }  // namespace ferryrock::event
--- a/tests/event/suspended_machine_test.cc
+++ b/tests/event/suspended_machine_test.cc
@@ -1,7 +1,6 @@
-/// A machine may be suspended for seconds. A process there that measures with a clock that stands still
-/// meanwhile believes that its lease, its catalog's proof or its quota's credit lasts for as much longer, and
-/// its timers are late by as much. Evidence: the steady clock (CLOCK_MONOTONIC) stands still while a machine
-/// is suspended; CLOCK_BOOTTIME goes on.
+/// A machine may be suspended for seconds. With a clock that stands still meanwhile, leases, catalog proofs
+/// and quota credit would expire too late by the suspended time, and so would timers. CLOCK_MONOTONIC stands
+/// still while a machine is suspended; CLOCK_BOOTTIME advances.
 #include "event/suspended_machine.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("time that the machine was suspended counts") {
+TEST_CASE("the monotonic time includes the time during which the machine was suspended") {
   for (const Duration suspended : {1s, 5s, 30s}) {
     SystemTimeSource source;
     const TimePoint before = source.monotonicTime();
@@ -22,7 +21,7 @@
   }
 }
 
-TEST_CASE("a timer that fell due while the machine was suspended runs at once") {
+TEST_CASE("a timer that expired while the machine was suspended runs at once") {
   const auto dispatcher = createAceDispatcher();
   CHECK(lastTimerClock() == CLOCK_BOOTTIME);
   const TimePoint start = dispatcher->timeSource().monotonicTime();
