--- a/src/transport/zap_authenticator.cc
+++ b/src/transport/zap_authenticator.cc
@@ -10,7 +10,8 @@
 
 constexpr std::size_t kRawKeyBytes = 32;
 constexpr std::size_t kZ85KeyBytes = 41;
-/// Frames of a request with CURVE: version, request id, domain, address, identity, mechanism, public key.
+/// Frames of a CURVE authentication request: version, request id, domain, address, identity, mechanism,
+/// public key.
 constexpr std::size_t kCurveRequestFrames = 7;
 
 std::vector<zmq::message_t> receiveFrames(zmq::socket_t& socket) {
--- a/src/transport/zap_authenticator.h
+++ b/src/transport/zap_authenticator.h
@@ -13,15 +13,15 @@
 
 namespace ferryrock::transport {
 
-/// Answers ZeroMQ's authentication requests (RFC 27/ZAP) of one context from an allow-list of public keys.
+/// Handles ZeroMQ's authentication requests (RFC 27/ZAP) of one context with an allow-list of public keys.
 /// The node's name becomes the "User-Id" of each message of the connection. Used on the dispatcher's thread.
 class ZapAuthenticator {
  public:
-  /// Must exist before the first socket with CURVE is bound.
+  /// Must be constructed before the first CURVE socket is bound.
   ZapAuthenticator(zmq::context_t& context, event::Dispatcher& dispatcher);
   ~ZapAuthenticator();
 
-  /// Replaces the allow-list: Z85 public key to node name. Connections that stand are not touched.
+  /// Replaces the allow-list: Z85 public key to node name. Established connections aren't affected.
   void allow(std::map<std::string, std::string> node_by_key);
   std::uint64_t refused() const { return refused_; }
 
--- a/src/transport/zeromq_transport.cc
+++ b/src/transport/zeromq_transport.cc
@@ -11,34 +11,35 @@
 #include "transport/transport.h"
 #include "transport/zap_authenticator.h"
 
-/// Each process binds one ROUTER socket, on which peers are known by their node name, and connects one DEALER
-/// socket to each peer that has an address. A message to a peer leaves by the DEALER if there is one, else by
-/// the ROUTER.
+/// Each process with a listen address binds one ROUTER socket, which identifies peers by their node name, and
+/// connects one DEALER socket to each peer that has an address. A message is sent through the peer's DEALER
+/// socket if there is one, otherwise through the ROUTER socket.
 namespace ferryrock::transport {
 namespace {
 
 constexpr int kLingerMs = 100;
 constexpr int kReconnectMs = 100;
-/// A peer that comes back, maybe with hundreds of others, is met again within this time.
+/// Upper bound of the reconnect interval, also when hundreds of peers restart at the same time.
 constexpr int kReconnectMaximumMs = 200;
-/// A silent peer is found by the kernel's probes and unacknowledged bytes. ZeroMQ's own heartbeats aren't
-/// used: when a connection breaks while its messages wait unread, their timer ends the process by an
-/// assertion (4.3.4, stream_engine_base.cpp: out_event() after an input/output error).
+/// Dead peers are detected by TCP keepalive probes and the timeout of unacknowledged data. ZeroMQ's own
+/// heartbeats aren't used: if a connection breaks while received messages are unread, the heartbeat timer
+/// aborts the process with an assertion (4.3.4, stream_engine_base.cpp: out_event() after an input/output
+/// error).
 constexpr int kProbeSeconds = 1;
 constexpr int kProbes = 3;
-/// A connection whose bytes nobody acknowledges, or whose peer takes no more, is given up after this time. A
-/// catalog must be in force within 2 s of its acknowledgement (the users' shortest limit); of these, a
-/// router's status takes 250 ms, the reconnection 200 ms, a retransmission on a link with losses 200 ms.
+/// Timeout after which a connection is closed if sent data stays unacknowledged or the peer's receive window
+/// stays full. A catalog must be in force within 2 s of its acknowledgement; of these, a router's status
+/// takes 250 ms, the reconnection 200 ms and a retransmission on a lossy link 200 ms.
 constexpr int kUnacknowledgedMs = 1200;
-/// Else a connection that is begun during a cut comes up only when the kernel repeats its opening packet, up
-/// to tens of seconds after the cut.
-/// Sooner than the kernel's first repetition after 1 s, and many times the way between any two zones.
+/// Timeout of a connection attempt. Without it, an attempt started during a network partition succeeds only
+/// when the kernel retransmits the SYN, up to tens of seconds after the partition ends. The value is below
+/// the kernel's first retransmission after 1 s and many times the latency between any two zones.
 constexpr int kConnectMs = 500;
-/// Connections that wait to be accepted: a fleet of 300 routers may come back at one moment.
+/// Backlog of connections that aren't accepted yet: 300 routers may reconnect at the same time.
 constexpr int kBacklog = 512;
 constexpr int kHandshakeMs = 2000;
 constexpr std::int64_t kMaximumMessageBytes = 256 << 20;
-/// Messages taken from one socket before the dispatcher's other work gets its turn.
+/// Messages received from one socket before the dispatcher runs other callbacks.
 constexpr int kMessagesPerTurn = 64;
 
 struct PeerKey {
@@ -51,7 +52,8 @@
 struct Connection {
   zmq::socket_t socket;
   std::unique_ptr<event::FileWatch> watch;
-  bool drain_posted = false;  ///< one is enough: more would keep timers and other sockets from their turn
+  bool drain_posted =
+      false;  ///< at most one drain is posted per socket, as more would starve timers and other sockets
 };
 
 class ZeroMqTransport : public Transport {
@@ -175,7 +177,7 @@
       socket.bind("tcp://" + settings_.listen_address);
     } catch (const zmq::error_t& fault) {
       throw Error(ResultCode::AddressInUse,
-                  "the internal address can't be bound: " + std::string(fault.what()),
+                  "the internal listen address can't be bound: " + std::string(fault.what()),
                   settings_.listen_address);
     }
     constexpr std::size_t kSchemeLength = 6;  // "tcp://"
@@ -242,7 +244,7 @@
     return queued;
   }
 
-  /// ZeroMQ's descriptor signals a change once only, so the events are read after each send and receive.
+  /// ZeroMQ's descriptor is edge-triggered, so the pending events are checked after each send and receive.
   static bool hasInput(zmq::socket_t& socket) { return (socket.get(zmq::sockopt::events) & ZMQ_POLLIN) != 0; }
 
   void postSafely(event::Callback callback) {
@@ -309,7 +311,7 @@
 
   void drainConnection(const PeerKey& key) {
     for (int i = 0; i < kMessagesPerTurn; ++i) {
-      const auto found = connections_.find(key);  // the receiver may have changed the peers
+      const auto found = connections_.find(key);  // the receive callback may have changed the peers
       if (found == connections_.end() || !hasInput(found->second->socket)) {
         return;
       }
@@ -326,8 +328,8 @@
     }
   }
 
-  /// A connection whose peer has connected again is renamed by ZeroMQ: a zero byte and a number. What still
-  /// waits on it is as good as lost.
+  /// When a peer reconnects, ZeroMQ renames its old connection to a zero byte and a number. Messages still
+  /// queued on the old connection are discarded.
   static bool isReplaced(const zmq::message_t& identity) {
     return !identity.empty() && *identity.data<char>() == 0;
   }
@@ -354,7 +356,7 @@
     try {
       wire::Envelope envelope = wire::decodeEnvelope(body.to_string_view());
       if (sender.empty() || envelope.from != sender) {
-        throw Error(ResultCode::PeerNotAllowed, "the sender names itself " + envelope.from.value,
+        throw Error(ResultCode::PeerNotAllowed, "the envelope names the sender '" + envelope.from.value + "'",
                     sender.value);
       }
       note(counts_.received_by_kind, envelope.message, body.size());
--- a/tests/transport/resetting_relay.cc
+++ b/tests/transport/resetting_relay.cc
@@ -27,7 +27,7 @@
   return ::poll(&watched, 1, kPollMilliseconds) > 0;
 }
 
-/// False once the source has ended or the target takes nothing more.
+/// Forwards available bytes. Returns false if the source is closed or the target accepts no more data.
 bool passSome(int from, int to) {
   std::array<char, 4096> bytes{};
   const ssize_t count = ::recv(from, bytes.data(), bytes.size(), MSG_DONTWAIT);
@@ -43,7 +43,7 @@
   ::close(descriptor);
 }
 
-/// Connections that the listener accepts take no more than this unread.
+/// Limits the unread bytes that the kernel buffers per accepted connection.
 void keepReceiveBufferSmall(int listener) {
   constexpr int kBytes = 8192;
   ::setsockopt(listener, SOL_SOCKET, SO_RCVBUF, &kBytes, sizeof kBytes);
@@ -121,7 +121,7 @@
   const sockaddr_in target = loopback(port_);
   for (int i = 0; i < kMoreThanTheQueue; ++i) {
     waiting_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-    // It is under way, or waits behind the full queue: both are what is wanted.
+    // The connection attempts fill the accept queue or stay pending behind the full queue; both are intended.
     static_cast<void>(::connect(waiting_.back(), reinterpret_cast<const sockaddr*>(&target), sizeof target));
   }
 }
--- a/tests/transport/resetting_relay.h
+++ b/tests/transport/resetting_relay.h
@@ -8,8 +8,9 @@
 
 namespace ferryrock::transport {
 
-/// Passes bytes between clients on loopback, one at a time, and a server; can reset the connection under way
-/// on both sides, or leave it open without reading it any more. The next client is served as the one before.
+/// TCP relay between a server and clients on loopback, one client at a time. It can reset the current
+/// connection on both sides, or stall it: keep it open without reading from it. Either way the next client is
+/// served.
 class ResettingRelay {
  public:
   /// server: "127.0.0.1:port".
@@ -21,12 +22,12 @@
   /// "127.0.0.1:port" that clients connect to.
   std::string address() const;
   void reset() { reset_wanted_ = true; }
-  /// The connection under way stays open and takes no more than what its buffers hold.
+  /// Stalls the current connection: it stays open, but only the kernel's buffers accept further data.
   void stall() { stall_wanted_ = true; }
 
  private:
   void serve();
-  /// Passes bytes until either side ends, or a reset, a stall or the end is wanted.
+  /// Forwards bytes until either side closes, or a reset, a stall or the relay's stop is requested.
   void pass(int client, int server);
 
   std::uint16_t server_port_ = 0;
@@ -34,12 +35,13 @@
   std::uint16_t port_ = 0;
   std::atomic<bool> reset_wanted_{false};
   std::atomic<bool> stall_wanted_{false};
-  std::vector<int> stalled_;  ///< of the serving thread, until the end
+  std::vector<int>
+      stalled_;  ///< descriptors of stalled connections; used by the serving thread until it is joined
   std::atomic<bool> end_wanted_{false};
   std::thread thread_;
 };
 
-/// A loopback port whose queue of new connections is full: opening packets get no answer, as behind a cut.
+/// Loopback port with a full accept queue: SYN packets aren't answered, as in a network partition.
 class FullListener {
  public:
   FullListener();
@@ -53,7 +55,7 @@
  private:
   int listener_ = -1;
   std::uint16_t port_ = 0;
-  std::vector<int> waiting_;  ///< fill the queue
+  std::vector<int> waiting_;  ///< connections that fill the accept queue
 };
 
 }  // namespace ferryrock::transport
--- a/tests/transport/transport_test.cc
+++ b/tests/transport/transport_test.cc
@@ -18,12 +18,12 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kPollInterval = 5ms;
-/// Of a message that fills a small receive buffer.
+/// Size of a message that fills a small receive buffer.
 constexpr std::size_t kLargeBytes = std::size_t{64} * 1024;
-/// Only ends a test that would hang; no assertion depends on it.
+/// Time limit that ends a hanging test; no assertion depends on its value.
 constexpr Duration kGiveUpAfter = 20s;
 
-/// Runs the loop until the condition holds; false if it never did.
+/// Runs the loop until the condition holds; returns false after a timeout.
 bool runUntil(event::Dispatcher& dispatcher, const std::function<bool()>& condition) {
   const TimePoint give_up = dispatcher.timeSource().monotonicTime() + kGiveUpAfter;
   bool held = false;
@@ -60,8 +60,8 @@
   return wire::DemandReport{NodeName{"router"}, sequence, {}};
 }
 
-/// Sends until the other side has received something; sends before the connection stands are dropped by
-/// contract.
+/// Sends until the receiver has received a message; messages sent before the connection is established are
+/// dropped by contract.
 bool sendUntilReceived(event::Dispatcher& dispatcher, Node& from, const std::string& to, Node& receiver) {
   const std::size_t before = receiver.received.size();
   return runUntil(dispatcher, [&] {
@@ -70,7 +70,7 @@
   });
 }
 
-/// Sends for a while; true if the receiver got nothing although the sender tried.
+/// Sends up to 60 messages; returns true if the receiver has received nothing.
 bool staysUnreceived(event::Dispatcher& dispatcher, Node& from, const std::string& to, Node& receiver) {
   constexpr int kTries = 60;
   int tries = 0;
@@ -81,7 +81,7 @@
   return receiver.received.empty();
 }
 
-TEST_CASE("a message reaches a peer with an address, and the answer finds its way back") {
+TEST_CASE("a message reaches a peer with an address, and the reply reaches the sender") {
   const auto dispatcher = event::createAceDispatcher();
   Node control(*dispatcher, "control", "127.0.0.1:0");
   Node router(*dispatcher, "router", "");
@@ -92,7 +92,9 @@
   CHECK(router.received.front().from == NodeName{"control"});
 }
 
-TEST_CASE("a peer that isn't read holds a bounded number of messages, further ones wait at their sender") {
+TEST_CASE(
+    "a process that doesn't read queues a bounded number of messages; further messages queue at their "
+    "sender") {
   const auto dispatcher = event::createAceDispatcher();
   TransportSettings settings;
   settings.node = NodeName{"control"};
@@ -110,7 +112,7 @@
     router->send(NodeName{"control"}, demand(1));
     return received > 0;
   }));
-  // The loop doesn't run from here on, so that nothing is received. The kernel's buffers take some megabytes.
+  // The loop doesn't run from here on, so nothing is received. The kernel's buffers hold some megabytes.
   constexpr std::size_t kLarge = 64 << 10;
   constexpr int kMessages = 2000;
   const std::uint64_t dropped_before = router->counts().dropped;
@@ -129,7 +131,7 @@
   CHECK(control.transport->counts().sent == 0);
 }
 
-TEST_CASE("an address in use is refused with its code") {
+TEST_CASE("binding an address in use fails with AddressInUse") {
   const auto dispatcher = event::createAceDispatcher();
   Node first(*dispatcher, "first", "127.0.0.1:0");
   try {
@@ -140,8 +142,7 @@
   }
 }
 
-TEST_CASE(
-    "a process takes new keys of its own at the same address, and its old ones are refused once withdrawn") {
+TEST_CASE("a process replaces its keys at the same address, and its old keys are rejected once removed") {
   const auto dispatcher = event::createAceDispatcher();
   const KeyPair control_keys = generateKeyPair();
   const KeyPair old_keys = generateKeyPair();
@@ -209,7 +210,7 @@
   bool reaches;
 };
 
-TEST_CASE("with keys on, only a listed key under its own name gets through") {
+TEST_CASE("with keys on, only messages of a listed key under its own node name are accepted") {
   const auto key_case = GENERATE(values<KeyCase>({
       {"listed", true, true, "router", true},
       {"not listed", false, true, "router", false},
@@ -243,7 +244,7 @@
   CHECK(staysUnreceived(*dispatcher, router, "control", control));
 }
 
-TEST_CASE("keys are rotated without a stop: the old and the new key stand side by side") {
+TEST_CASE("keys are rotated without downtime: the old and the new key are accepted at the same time") {
   const KeyPair control_keys = generateKeyPair();
   const KeyPair old_keys = generateKeyPair();
   const KeyPair new_keys = generateKeyPair();
@@ -264,9 +265,9 @@
   CHECK(sendUntilReceived(*dispatcher, *router, "control", control));
 }
 
-TEST_CASE("answers to a backlog don't keep the loop's other work from its turn") {
+TEST_CASE("replying to a backlog of messages doesn't starve other callbacks of the loop") {
   constexpr std::size_t kBacklog = 5'000;
-  /// One turn at the event and one posted turn, each of 64 messages.
+  /// One drain by the descriptor's event and one posted drain, each of 64 messages.
   constexpr std::size_t kMostPerRound = 128;
   const auto dispatcher = event::createAceDispatcher();
   std::size_t received = 0;
@@ -301,7 +302,7 @@
   CHECK(most_per_round <= kMostPerRound);
 }
 
-TEST_CASE("a process that comes back at the same address is reached again") {
+TEST_CASE("a process restarted at the same address is reconnected") {
   const auto dispatcher = event::createAceDispatcher();
   auto control = std::make_unique<Node>(*dispatcher, "control", "127.0.0.1:0");
   const std::string address = control->transport->boundAddress();
@@ -313,9 +314,9 @@
   CHECK(sendUntilReceived(*dispatcher, router, "control", *control));
 }
 
-/// A peer whose connection is reset while its messages pile up here: the messaging library then keeps the
-/// connection's engine until they are read.
-TEST_CASE("a connection that is reset while its messages wait unread costs no process") {
+/// The connection is reset while received messages are queued: ZeroMQ then keeps the connection's engine
+/// until the messages are read.
+TEST_CASE("a connection reset while its messages are unread doesn't abort the process") {
   constexpr std::size_t kMark = 10;
   constexpr int kMoreThanTheMark = 100;
   const auto dispatcher = event::createAceDispatcher();
@@ -337,10 +338,10 @@
   for (int i = 0; i < kMoreThanTheMark; ++i) {
     sender.transport->send(NodeName{"control"}, demand(1));
   }
-  std::this_thread::sleep_for(300ms);  // nobody reads meanwhile
+  std::this_thread::sleep_for(300ms);  // nothing is read meanwhile
   relay.reset();
   std::this_thread::sleep_for(1500ms);
-  const std::size_t before = received;  // what waited may be lost, what is sent from now on arrives
+  const std::size_t before = received;  // queued messages may be lost, messages sent from now on arrive
   CHECK(runUntil(*dispatcher, [&] {
     sender.transport->send(NodeName{"control"}, demand(1));
     return received > before + kMoreThanTheMark;
@@ -348,9 +349,9 @@
   CHECK(receiver->counts().malformed == 0);
 }
 
-/// The kernel repeats an unanswered opening packet less and less often: a connection that is begun during a
-/// cut would come up long after its end.
-TEST_CASE("a peer that was cut off is reached soon after the cut") {
+/// The kernel retransmits an unanswered SYN at growing intervals, so a connection attempt started during a
+/// network partition would succeed long after the partition ends.
+TEST_CASE("a peer is reconnected soon after a network partition ends") {
   constexpr Duration kCut = 7200ms;
   constexpr Duration kSoon = 3300ms;
   const auto dispatcher = event::createAceDispatcher();
@@ -366,9 +367,9 @@
   CHECK(dispatcher->timeSource().monotonicTime() - healed < kSoon);
 }
 
-/// The users' shortest limit from an acknowledgement to a catalog's being in force is 2 s; a connection that
-/// takes nothing any more mustn't hold a message up for longer than that and half a second of the test's own.
-TEST_CASE("A connection that takes nothing any more is replaced by a new one") {
+/// A catalog must be in force within 2 s of its acknowledgement; a stalled connection must not delay a
+/// message for longer than that, plus a tolerance of 0.5 s for the test.
+TEST_CASE("A stalled connection that accepts no more data is replaced by a new one") {
   constexpr Duration kReplacedWithin = 2500ms;
   const auto dispatcher = event::createAceDispatcher();
   Node receiver(*dispatcher, "control", "127.0.0.1:0");
@@ -378,7 +379,8 @@
   REQUIRE(sendUntilReceived(*dispatcher, sender, "control", receiver));
   relay.stall();
   std::this_thread::sleep_for(100ms);
-  runUntil(*dispatcher, [&, tries = 0]() mutable { return ++tries > 10; });  // what came before the stall
+  runUntil(*dispatcher,
+           [&, tries = 0]() mutable { return ++tries > 10; });  // receives what was sent before the stall
   const TimePoint stalled = dispatcher->timeSource().monotonicTime();
   const std::size_t before = receiver.received.size();
   const wire::Message large = wire::MemberList{{NodeName{std::string(kLargeBytes, 'x')}}, {}};
@@ -389,8 +391,8 @@
   CHECK(dispatcher->timeSource().monotonicTime() - stalled < kReplacedWithin);
 }
 
-/// The relay's host acknowledges what the old connection gets, so that only the peer's silence shows it.
-TEST_CASE("A renewed connection passes messages though the old one stands and passes none") {
+/// The relay's kernel acknowledges data on the old connection, so that only missing replies reveal the stall.
+TEST_CASE("renew() restores delivery while the old connection is open but stalled") {
   const auto dispatcher = event::createAceDispatcher();
   Node receiver(*dispatcher, "control", "127.0.0.1:0");
   ResettingRelay relay(receiver.transport->boundAddress());
