--- a/src/http/blocking_call.cc
+++ b/src/http/blocking_call.cc
@@ -40,9 +40,10 @@
   if (result != CURLE_OK) {
     throw Error(ResultCode::PeerUnreachable, "'" + request.url + "': " + call.failureReason(result));
   }
-  // libcurl takes a connection that ends within the headers for a whole answer.
+  // libcurl reports success if a connection ends within the headers.
   if (!collected.headers_complete) {
-    throw Error(ResultCode::PeerUnreachable, "'" + request.url + "': the answer was cut in its headers");
+    throw Error(ResultCode::PeerUnreachable,
+                "'" + request.url + "': the connection was closed within the response headers");
   }
   collected.response.status = static_cast<int>(call.status());
   return std::move(collected.response);
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -13,13 +13,14 @@
 namespace ferryrock::http {
 namespace {
 
-/// Two for each engine of a cell with 4,000 engines; beyond it every call would open a connection of its own.
+/// Two connections per engine of a cell with 4,000 engines; beyond this bound each further call would open a
+/// new connection.
 constexpr long kMaximumIdleConnections = 8192;
 
 class CurlClient;
 
-/// One request on its easy handle. libcurl's callbacks only collect here; the client delivers once libcurl
-/// has returned, so that user callbacks may start, pause and destroy calls.
+/// State of one request. libcurl's callbacks only collect data here; the client invokes the user callbacks
+/// after libcurl has returned, so that these may start, pause and destroy calls.
 struct CallState : std::enable_shared_from_this<CallState> {
   CallState(ClientRequest client_request, ClientCallbacks client_callbacks)
       : transfer(std::move(client_request)), callbacks(std::move(client_callbacks)) {}
@@ -86,7 +87,7 @@
   }
 
  private:
-  /// The pair that libcurl's callbacks get: the client through which to deliver, and the call.
+  /// libcurl's callbacks for received bytes; their context is the CallState.
   static std::size_t onHeader(char* bytes, std::size_t size, std::size_t count, void* context);
   static std::size_t onBody(char* bytes, std::size_t size, std::size_t count, void* context);
 
@@ -189,7 +190,7 @@
     });
   }
 
-  /// Runs user callbacks; they may destroy calls and the client.
+  /// Invokes user callbacks, which may destroy calls and the client.
   void deliver() {
     const std::shared_ptr<bool> alive = alive_;
     const std::vector<CallPtr> batch = std::exchange(touched_, {});
@@ -215,8 +216,8 @@
   std::vector<CallPtr> touched_;
   bool timeout_scheduled_ = false;
   bool delivery_scheduled_ = false;
-  std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  ///< false for callbacks that outlive the client
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(
+      true);  ///< set to false on destruction, for posted callbacks that outlive the client
 };
 
 class CurlCall : public ClientCall {
@@ -316,9 +317,9 @@
   const bool refused = call->transfer.wasRefused(call->result);
   const std::string reason = call->headers_complete || call->result != CURLE_OK
                                  ? call->transfer.failureReason(call->result)
-                                 : "the answer was cut in its headers";
+                                 : "the connection was closed within the response headers";
   call->client->cancel(call);
-  // libcurl takes a connection that ends within the headers for a whole answer.
+  // libcurl reports success if a connection ends within the headers.
   if (call->result == CURLE_OK && call->headers_complete) {
     if (callbacks.on_complete) {
       callbacks.on_complete();
--- a/src/http/curl_request.cc
+++ b/src/http/curl_request.cc
@@ -51,7 +51,7 @@
   curl_easy_setopt(curl, CURLOPT_URL, request_.url.c_str());
   curl_easy_setopt(curl, CURLOPT_PROTOCOLS_STR, "http,https");
   curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
-  curl_easy_setopt(curl, CURLOPT_PROXY, "");  // also overrides the environment
+  curl_easy_setopt(curl, CURLOPT_PROXY, "");  // also overrides proxies set in the environment
   curl_easy_setopt(curl, CURLOPT_FOLLOWLOCATION, 0L);
   curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
@@ -80,8 +80,8 @@
   setHeaders();
 }
 
-/// libcurl sends a request again by itself when a reused connection breaks before the answer. This runs
-/// before each sending, so the second one is stopped here.
+/// libcurl resends a request automatically if a reused connection breaks before the response. It calls this
+/// function before each send, which aborts the second one.
 int CurlRequest::beforeSend(void* self, char* /*primary_ip*/, char* /*local_ip*/, int /*primary_port*/,
                             int /*local_port*/) {
   auto& request = *static_cast<CurlRequest*>(self);
@@ -123,7 +123,7 @@
     append(header.value.empty() ? header.name + ";" : header.name + ": " + header.value);
     content_type = content_type || findHeader({header}, "Content-Type").has_value();
   }
-  append("Expect:");  // no pause before the body
+  append("Expect:");  // avoids the wait for 100 Continue before the body
   if (request_.exact_headers) {
     if (!findHeader(request_.headers, "Accept")) {
       append("Accept:");
@@ -149,8 +149,7 @@
   return result == CURLE_COULDNT_CONNECT && system_error == ECONNREFUSED;
 }
 
-/// The request's bytes are counted by libcurl as the socket takes them; a second sending that was stopped
-/// means that there was a first.
+/// libcurl counts the request's bytes as the socket accepts them; an aborted resend implies an earlier send.
 SendProgress CurlRequest::progress() const {
   if (status() != 0) {
     return SendProgress::ResponseStarted;
@@ -163,7 +162,7 @@
 
 std::string CurlRequest::failureReason(CURLcode result) const {
   if (resend_stopped_) {
-    return "the reused connection was closed before the answer";
+    return "the reused connection was closed before the response";
   }
   return error_text_[0] != '\0' ? error_text_ : curl_easy_strerror(result);
 }
--- a/src/http/curl_request.h
+++ b/src/http/curl_request.h
@@ -13,11 +13,11 @@
 /// Initializes libcurl once for the process.
 void initializeCurl();
 
-/// Takes one header line as libcurl hands it over. Returns true at the empty line that ends the headers; a
-/// status line begins them anew.
+/// Parses one header line passed by libcurl into headers. Returns true at the empty line that ends the
+/// headers; a status line clears them.
 bool addHeaderLine(Headers& headers, std::string_view line);
 
-/// One request bound to an easy handle: never sent twice, no proxy, no redirect, no signal.
+/// One request bound to an easy handle. It is sent at most once, without proxies, redirects or signals.
 class CurlRequest {
  public:
   /// Throws Error Internal.
@@ -26,11 +26,11 @@
   CurlRequest& operator=(const CurlRequest&) = delete;
 
   CURL* handle() const { return handle_.get(); }
-  /// Status of the answer; 0 before there is one.
+  /// Status of the response; 0 before the status line is received.
   long status() const;
-  /// True if the last connection was refused by the peer's machine.
+  /// Returns true if the peer's machine refused the last connection attempt.
   bool wasRefused(CURLcode result) const;
-  /// How far the request got by now.
+  /// Returns how much of the exchange has taken place so far.
   SendProgress progress() const;
   std::string failureReason(CURLcode result) const;
 
@@ -49,7 +49,7 @@
   ClientRequest request_;
   std::unique_ptr<CURL, HandleDeleter> handle_;
   std::unique_ptr<curl_slist, ListDeleter> header_list_;
-  int sends_ = 0;  ///< times that libcurl was about to send the request
+  int sends_ = 0;  ///< number of times that libcurl has started to send the request
   bool resend_stopped_ = false;
   char error_text_[CURL_ERROR_SIZE] = {};
 };
--- a/src/http/error_body.cc
+++ b/src/http/error_body.cc
@@ -5,7 +5,7 @@
 namespace ferryrock::http {
 namespace {
 
-/// The types that OpenAI clients know.
+/// Returns the error type for OpenAI clients.
 std::string errorType(int http_status) {
   constexpr int kTooManyRequests = 429;
   constexpr int kFirstServerError = 500;
--- a/src/http/error_body.h
+++ b/src/http/error_body.h
@@ -7,9 +7,9 @@
 
 namespace ferryrock::http {
 
-/// OpenAI-style error object of a result code:
-/// {"error":{"message","type","param":null,"code":<number>,"name"}}. The message is the code's meaning, then
-/// the detail if there is one, then the remedy.
+/// Returns the OpenAI-style error object of a result code:
+/// {"error":{"message","type","param":null,"code":<number>,"name"}}. The message consists of the code's
+/// meaning, the detail if it isn't empty, and the remedy.
 std::string errorBody(ResultCode code, std::string_view detail);
 
 }  // namespace ferryrock::http
--- a/src/http/exchange.cc
+++ b/src/http/exchange.cc
@@ -146,7 +146,7 @@
   delete static_cast<std::shared_ptr<Exchange>*>(context);
 }
 
-/// Called when libmicrohttpd has sent all that it was given before.
+/// Called when libmicrohttpd has sent all bytes that it received earlier.
 ssize_t Exchange::takeContent(char* buffer, std::size_t size) {
   handed_over_ = 0;
   const std::size_t count = std::min(size, pending_.size() - taken_);
@@ -205,7 +205,7 @@
   MHD_Response* response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlockBytes,
                                                              &readContent, context.get(), &releaseContent);
   if (response != nullptr) {
-    static_cast<void>(context.release());  // owned by the response from here on
+    static_cast<void>(context.release());  // now owned by the response
   }
   return response;
 }
@@ -251,8 +251,9 @@
   }
 }
 
-/// An HTTP/1.0 body ends with its connection, so only a reset tells its reader that it was cut. libmicrohttpd
-/// closes with a FIN; dissolving the association, as connect(2) does for AF_UNSPEC, sends the RST before it.
+/// An HTTP/1.0 body ends with its connection, so only a reset shows the peer that the body is truncated.
+/// libmicrohttpd closes with a FIN; connect(2) with AF_UNSPEC dissolves the association and sends a RST
+/// first.
 void Exchange::resetConnection() const {
   if (chunked_answers_ || connection_ == nullptr) {
     return;
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -12,19 +12,19 @@
 
 namespace ferryrock::http {
 
-/// What an exchange needs of the server that it belongs to.
+/// Interface through which an exchange uses its server.
 class ExchangeOwner {
  public:
   virtual ~ExchangeOwner() = default;
-  /// Lets libmicrohttpd go on soon with connections that were resumed.
+  /// Schedules a run of libmicrohttpd, which continues resumed connections.
   virtual void scheduleRun() = 0;
   virtual void post(event::Callback callback) = 0;
-  /// True once listening has stopped: answers then close their connections.
+  /// Returns true if responses must close their connections, e.g. after listening has stopped.
   virtual bool closing() const = 0;
 };
 
-/// One request and its answer on a libmicrohttpd connection. Shared by the connection and the ResponseWriter;
-/// the owner is told by connectionDone() when the connection lets go.
+/// One request and its response on a libmicrohttpd connection. Shared by the connection and the
+/// ResponseWriter; the server calls connectionDone() when the connection releases the exchange.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(ExchangeOwner& owner, MHD_Connection* connection, bool chunked_answers)
@@ -33,19 +33,20 @@
   // For the server, within libmicrohttpd's callbacks.
 
   Request request;
-  std::size_t discarded_bytes = 0;  ///< of a body over the limit
+  std::size_t discarded_bytes = 0;  ///< bytes read and discarded of a body over the limit
   bool body_too_large = false;
 
-  /// Marks the request as handed to its handler.
+  /// Marks the request as passed to its handler or rejected.
   void beginAnswering() { answering_ = true; }
   bool answering() const { return answering_; }
-  /// Queues the answer if there is one by now, else suspends the connection until there is. MHD_NO closes it.
+  /// Queues the response if it has been started, otherwise suspends the connection until it is. Returns
+  /// MHD_NO to close the connection.
   MHD_Result continueConnection();
-  /// The peer closed its side: tells the writer, and lets the connection end.
+  /// Handles that the peer has closed its sending side: notifies the writer and ends the connection.
   void peerClosed();
-  /// libmicrohttpd has ended the request; the connection isn't touched any more.
+  /// Handles that libmicrohttpd has ended the request; the connection isn't used afterwards.
   void connectionDone(bool complete);
-  /// The server is being destroyed.
+  /// Detaches the exchange from a server that is being destroyed.
   void ownerGone();
 
   // For the writer.
@@ -77,7 +78,7 @@
 
   ExchangeOwner* owner_;
   MHD_Connection* connection_;
-  bool chunked_answers_;  ///< false for HTTP/1.0 peers, which only see a cut as a reset
+  bool chunked_answers_;  ///< false for HTTP/1.0 peers, which detect a truncated response only by a reset
   Phase phase_ = Phase::Waiting;
   bool answering_ = false;
   bool suspended_ = false;
@@ -85,14 +86,14 @@
   bool closed_ = false;
   int status_ = 0;
   Headers headers_;
-  std::string pending_;          ///< written, not yet handed to libmicrohttpd
-  std::size_t taken_ = 0;        ///< of pending_, already handed over
+  std::string pending_;          ///< written, not yet passed to libmicrohttpd
+  std::size_t taken_ = 0;        ///< bytes at the start of pending_ that are already passed on
   std::size_t handed_over_ = 0;  ///< held by libmicrohttpd, not yet sent
   event::Callback on_closed_;
   event::Callback on_drained_;
 };
 
-/// The handler's end of an exchange.
+/// Creates the writer through which a handler responds.
 ResponseWriterPtr createResponseWriter(std::shared_ptr<Exchange> exchange);
 
 }  // namespace ferryrock::http
--- a/src/http/listen_socket.h
+++ b/src/http/listen_socket.h
@@ -11,7 +11,8 @@
   std::uint16_t port = 0;
 };
 
-/// Binds an IP address (v4 or v6) and listens. Port 0 is chosen by the system. Throws Error AddressInUse.
+/// Binds an IP address (v4 or v6) and listens. The system chooses the port if it is 0. Throws Error
+/// AddressInUse.
 ListenSocket openListenSocket(const std::string& address, std::uint16_t port, bool reuse_port);
 
 }  // namespace ferryrock::http
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -22,8 +22,8 @@
 
 constexpr unsigned kMaximumConnections = 20'000;
 constexpr int kMaximumRounds = 16;
-/// A body over the limit is read to its end up to this size, so that its sender sees the answer instead of a
-/// reset.
+/// A body over the limit is read and discarded up to this size, so that its sender receives the error
+/// response instead of a reset.
 constexpr std::size_t kMaximumDiscardedBytes = 64 << 20;
 
 const Logger kLog("http");
@@ -48,7 +48,7 @@
   std::unique_ptr<event::FileWatch> close_watch;
   std::weak_ptr<Exchange> current;
   bool peer_closed = false;
-  std::string target;  ///< of the request that is being read
+  std::string target;  ///< target of the request that is being read
 };
 
 class MicrohttpdServer : public Server, public ExchangeOwner {
@@ -80,13 +80,13 @@
     if (closing_) {
       return;
     }
-    run();  // takes what has already connected
+    run();  // accepts connections that are already established
     closeListener();
   }
 
   void closeAfterAnswers() override { close_after_answers_ = true; }
 
-  /// libmicrohttpd closes a connection by itself only after a time without progress.
+  /// libmicrohttpd closes idle connections only by timeout, so the timeout is set to its minimum.
   void closeIdleConnections() override {
     constexpr unsigned kShortestTimeoutSeconds = 1;
     for (const Connection* connection : connections_) {
@@ -171,7 +171,8 @@
 
   bool closing() const override { return closing_ || close_after_answers_; }
 
-  /// Runs libmicrohttpd until it has nothing left to do at once; other handlers get their turn now and then.
+  /// Runs libmicrohttpd until it has no immediate work left, for a bounded number of rounds so that other
+  /// callbacks of the loop aren't starved.
   void run() {
     MHD_UNSIGNED_LONG_LONG milliseconds = 0;
     bool has_timeout = false;
@@ -187,8 +188,8 @@
     }
   }
 
-  /// Idle connections end later at each run, so an armed timer is left alone; it arms itself anew when it
-  /// fires.
+  /// Each run may postpone the idle timeout, so an earlier armed timer isn't re-armed; run() re-arms it after
+  /// it has fired.
   void armTimeout(Duration delay) {
     const TimePoint now = dispatcher_.timeSource().monotonicTime();
     if (armed_until_ <= now || now + delay < armed_until_) {
@@ -213,7 +214,8 @@
     return *static_cast<Connection*>(info->socket_context);
   }
 
-  /// Keeps the target as it was sent. What is returned becomes the request's context, which starts empty.
+  /// Stores the request target as received. The return value becomes the request's context, which is
+  /// initially null.
   static void* onTarget(void* /*self*/, const char* target, MHD_Connection* connection) {
     stateOf(connection).target = target;
     return nullptr;
@@ -238,10 +240,10 @@
     return opened;
   }
 
-  /// libmicrohttpd watches edge-triggered and misses an end that arrives together with the last bytes. Once
-  /// it has read these, shutting down the receiving side raises another event.
+  /// libmicrohttpd uses edge-triggered events and misses an end of stream that arrives together with the last
+  /// bytes. After these are read, shutting down the receiving side raises another event.
   void endReading(int descriptor) {
-    // The run may end the connection, whose descriptor then belongs to somebody else: keep the socket itself.
+    // run() may close the connection, after which its descriptor may be reused: a duplicate keeps the socket.
     const int socket = ::dup(descriptor);
     run();
     ::shutdown(socket, SHUT_RD);
@@ -282,8 +284,8 @@
     return exchange;
   }
 
-  /// Refuses a body that is announced as too large before it is read: if the peer waits for leave to send it,
-  /// or if it is larger than what would be discarded.
+  /// Rejects a body whose Content-Length exceeds the limit before it is read, if the peer waits for 100
+  /// Continue or if the body is larger than the server would discard.
   MHD_Result checkAnnouncedBody(Exchange& exchange) {
     const auto length = findHeader(exchange.request.headers, MHD_HTTP_HEADER_CONTENT_LENGTH);
     const std::uint64_t announced = length ? std::strtoull(length->c_str(), nullptr, 10) : 0;
@@ -376,10 +378,10 @@
   bool run_scheduled_ = false;
   bool closing_ = false;
   bool close_after_answers_ = false;
-  std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  ///< false for callbacks that outlive the server
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(
+      true);  ///< set to false on destruction, for posted callbacks that outlive the server
   std::unordered_set<std::shared_ptr<Exchange>> exchanges_;
-  std::unordered_set<const Connection*> connections_;  ///< open ones; owned by libmicrohttpd
+  std::unordered_set<const Connection*> connections_;  ///< open connections; owned by libmicrohttpd
 };
 
 }  // namespace
--- a/src/http/silence_limits.cc
+++ b/src/http/silence_limits.cc
@@ -9,11 +9,11 @@
 namespace ferryrock::http {
 namespace {
 
-/// Bytes that nobody acknowledges or takes are given up after this time: three retransmissions on a way of
-/// some milliseconds. Callers of repeatable calls have 1 s to 30 s.
+/// Timeout of data that the peer neither acknowledges nor accepts: three retransmissions on a path with a
+/// latency of some milliseconds. Deadlines of idempotent calls are between 1 s and 30 s.
 constexpr int kUnacknowledgedMs = 1500;
-/// A connection that only receives, as a stream's, is probed; the limit above ends it at the second probe, 2
-/// s after its last sign of life. The kernel takes whole seconds.
+/// Keepalive probes cover connections that only receive, such as streams; the timeout above closes them at
+/// the second probe, 2 s after the last received packet. The kernel accepts whole seconds only.
 constexpr int kIdleSeconds = 1;
 constexpr int kProbeSeconds = 1;
 constexpr int kProbes = 2;
--- a/src/http/silence_limits.h
+++ b/src/http/silence_limits.h
@@ -2,8 +2,8 @@
 
 namespace ferryrock::http {
 
-/// Sets the limits after which the kernel ends a connection whose peer shows no sign of life, as an error of
-/// the socket: a connection may go silent for good without a reset, while new ones work. False if one of them
+/// Sets the timeouts after which the kernel closes a connection to an unresponsive peer with a socket error:
+/// a connection may stop passing data without a reset, while new connections work. Returns false if an option
 /// can't be set.
 bool setSilenceLimits(int socket);
 
--- a/tests/http/client_test.cc
+++ b/tests/http/client_test.cc
@@ -29,7 +29,7 @@
   std::string name;
   ScriptedServer::Script script;
   SendProgress progress;
-  std::string received;  ///< body that the client still sees
+  std::string received;  ///< part of the body that the client receives
 };
 
 ScriptedServer::Script afterRequest(const std::function<void(RawConnection&)>& action) {
@@ -82,7 +82,7 @@
   };
 }
 
-TEST_CASE("a failed call tells truly how far it got, and its request arrived once at most") {
+TEST_CASE("a failed call reports its correct progress, and its request arrives at most once") {
   for (const std::string method : {"GET", "POST", "DELETE"}) {
     for (const FaultCase& fault : faultCases()) {
       INFO(method << " " << fault.name);
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("a call whose peer takes nothing any more ends long before its own limit") {
+TEST_CASE("a call whose peer stops reading fails long before the call's own timeout") {
   constexpr std::size_t kMoreThanTheBuffers = std::size_t{64} << 20;
   std::atomic<bool> over = false;
   const ScriptedServer peer([&over](RawConnection& connection, int) {
@@ -123,7 +123,7 @@
   CHECK(record.failure == SendProgress::MaybeSent);
 }
 
-TEST_CASE("a connection that only receives is probed, and given up when no probe is answered") {
+TEST_CASE("a receive-only connection is probed and closed if no probe is acknowledged") {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   REQUIRE(setSilenceLimits(socket));
   const auto value = [socket](int level, int name) {
@@ -139,7 +139,7 @@
   CHECK_FALSE(setSilenceLimits(socket));
 }
 
-TEST_CASE("a call that can't connect is certainly not sent") {
+TEST_CASE("a call that can't connect is reported as not sent") {
   Loop loop;
   const auto client = createClient(loop.dispatcher());
   std::uint16_t refused_port = 0;
@@ -155,13 +155,13 @@
   CHECK(record.failure == SendProgress::NotSent);
 }
 
-/// A server that answers the first request of each connection and treats the second one as told.
+/// A server that responds to the first request of each connection and handles the second one as configured.
 struct ReuseCase {
   std::string name;
   std::function<void(RawConnection&)> second;
 };
 
-TEST_CASE("a pooled connection that breaks at its reuse makes the call fail instead of being sent again") {
+TEST_CASE("a call fails instead of being resent if its pooled connection breaks on reuse") {
   const std::vector<ReuseCase> cases = {
       {"closed after the request was read", [](RawConnection& c) { c.readRequest(); }},
       {"reset after the request was read",
@@ -196,7 +196,7 @@
   }
 }
 
-TEST_CASE("a call that asks for a fresh connection never uses a pooled one") {
+TEST_CASE("a call that requests a fresh connection never uses a pooled one") {
   std::vector<std::string> seen;
   std::mutex mutex;
   const ScriptedServer peer([&](RawConnection& connection, int number) {
@@ -220,7 +220,8 @@
   CHECK(seen == std::vector<std::string>{"POST /a on 1", "POST /b on 2", "POST /c on 3"});
 }
 
-TEST_CASE("over many closings around the moment of reuse no request arrives twice or against its report") {
+TEST_CASE(
+    "no request arrives twice or contrary to its reported progress if connections close around their reuse") {
   constexpr int kCalls = 400;
   std::map<std::string, int> arrivals;
   std::mutex mutex;
@@ -328,7 +329,7 @@
   CHECK(loop.runUntil([&] { return done; }));
 }
 
-TEST_CASE("a paused call takes a bounded number of bytes and goes on where it stopped") {
+TEST_CASE("a paused call receives a bounded number of bytes and resumes without loss") {
   constexpr std::size_t kTotal = 64 << 20;
   constexpr std::size_t kPausedBound = 4 << 20;
   Loop loop;
@@ -372,7 +373,7 @@
   REQUIRE(::unsetenv("http_proxy") == 0);
 }
 
-TEST_CASE("an interim answer isn't taken for the final one") {
+TEST_CASE("an interim (1xx) response isn't treated as the final response") {
   const ScriptedServer peer([](RawConnection& connection, int) {
     connection.readRequest();
     connection.write("HTTP/1.1 100 Continue\r\nX-Interim: 1\r\n\r\n");
@@ -388,7 +389,7 @@
   CHECK(record.body == "ok");
 }
 
-TEST_CASE("a blocking call returns the whole answer or throws") {
+TEST_CASE("a blocking call returns the complete response or throws") {
   const ScriptedServer peer([](RawConnection& connection, int number) {
     connection.readRequest();
     if (number == 1) {
--- a/tests/http/fixture.h
+++ b/tests/http/fixture.h
@@ -10,7 +10,7 @@
 
 namespace ferryrock::http {
 
-/// How a client's call ended.
+/// Response and outcome of a client's call.
 struct CallRecord {
   int status = 0;
   Headers headers;
@@ -22,24 +22,24 @@
   bool ended() const { return complete || failure.has_value(); }
 };
 
-/// A dispatcher with helpers that run it until something has happened; gives up after a generous time.
+/// Dispatcher with helpers that run it until a condition holds or a timeout expires.
 class Loop {
  public:
   Loop();
   event::Dispatcher& dispatcher() { return *dispatcher_; }
-  /// Runs until the condition holds; false if it never did.
+  /// Runs until the condition holds; returns false after the time limit.
   bool runUntil(const std::function<bool()>& condition, Duration limit = std::chrono::seconds(20));
-  /// Runs for a while, for what should not happen.
+  /// Runs for the given duration, to verify that something does not happen.
   void runFor(Duration duration);
 
  private:
   std::unique_ptr<event::Dispatcher> dispatcher_;
 };
 
-/// Callbacks that fill a record.
+/// Returns callbacks that fill the record.
 ClientCallbacks recordInto(CallRecord& record);
 
-/// A request with the defaults of the interface.
+/// Returns a request with default settings.
 ClientRequest makeRequest(std::string method, std::string url, std::string body = {});
 
 std::string urlOf(std::uint16_t port, const std::string& path);
--- a/tests/http/raw_peer.h
+++ b/tests/http/raw_peer.h
@@ -10,7 +10,7 @@
 
 namespace ferryrock::http {
 
-/// A blocking TCP connection for scripted peers; closed when destroyed. Reads and writes give up after some
+/// Blocking TCP connection for scripted peers; closed on destruction. Reads and writes time out after some
 /// seconds.
 class RawConnection {
  public:
@@ -23,16 +23,17 @@
   static RawConnection connect(std::uint16_t port, int receive_buffer_bytes = 0);
 
   void write(std::string_view bytes);
-  /// Reads until the text has appeared; returns all that was read. Stops early at the end of the connection.
+  /// Reads until the text is received and returns all bytes read. Stops early at the end of the connection.
   std::string readUntil(std::string_view text);
-  /// Reads one request: the headers and as many bytes of body as they announce. Empty at the end of the
-  /// connection.
+  /// Reads one request: the headers and a body of the announced length. Returns an empty string at the end of
+  /// the connection.
   std::string readRequest();
-  /// What can be read without waiting; see ended() for why nothing came.
+  /// Reads the available bytes without blocking. If there are none, ended() tells whether the connection has
+  /// ended.
   std::string readAvailable();
   bool ended() const { return ended_; }
   bool wasReset() const { return reset_; }
-  /// Sends a FIN and goes on reading.
+  /// Sends a FIN; the connection can still be read.
   void closeSending();
   void close();
   /// Closes with a RST.
@@ -47,7 +48,7 @@
   bool reset_ = false;
 };
 
-/// Serves each connection in turn by a script on an own thread, until destroyed.
+/// Runs a script for one connection after the other on its own thread, until destroyed.
 class ScriptedServer {
  public:
   using Script = std::function<void(RawConnection&, int connection_number)>;
--- a/tests/http/server_fault_test.cc
+++ b/tests/http/server_fault_test.cc
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kBodyLimit = 1000;
 
-/// A server whose answers to "/wait" are left to the test; all else is echoed.
+/// A server that leaves responses to "/wait" to the test and echoes all other requests.
 struct EchoServer {
   explicit EchoServer(ServerSettings settings = {}) {
     settings.max_body_bytes = kBodyLimit;
@@ -33,7 +33,7 @@
         });
   }
 
-  /// Sends raw bytes and returns what comes back until the text appears or the connection ends.
+  /// Sends raw bytes and returns the received bytes until the text appears or the connection ends.
   std::string exchange(RawConnection& peer, std::string_view bytes, std::string_view until) {
     peer.write(bytes);
     std::string answer;
@@ -56,7 +56,7 @@
   bool closes_sending = false;
 };
 
-TEST_CASE("malformed requests never reach the handler, and the server serves on") {
+TEST_CASE("malformed requests never reach the handler, and the server stays available") {
   const auto fault = GENERATE(values<MalformedCase>({
       {"garbage", "\x01\x02\x03\x04\r\n\r\n"},
       {"no version", "GET /\r\n\r\n"},
@@ -95,7 +95,7 @@
   bool accepted;
 };
 
-TEST_CASE("bodies over the limit are refused with 413 and the result code") {
+TEST_CASE("bodies over the limit are rejected with 413 and the result code") {
   const std::string chunk = "1f4\r\n" + std::string(500, 'x') + "\r\n";
   const auto example = GENERATE_COPY(values<BodyCase>({
       {"at the limit", "Content-Length: 1000\r\n\r\n", std::string(1000, 'x'), true},
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("one connection carries requests one after the other, also when sent at once") {
+TEST_CASE("one connection serves sequential and pipelined requests in order") {
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port());
   const std::string one = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -134,7 +134,7 @@
   CHECK_FALSE(peer.ended());
 }
 
-TEST_CASE("a request sent behind one that waits is answered after it") {
+TEST_CASE("a pipelined request is answered after the pending request before it") {
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port());
   peer.write("GET /wait HTTP/1.1\r\nHost: a\r\n\r\nGET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -152,7 +152,8 @@
   std::function<void(RawConnection&)> leave;
 };
 
-TEST_CASE("a peer that leaves before the answer ended is reported once, and its writer does nothing more") {
+TEST_CASE(
+    "a peer that disconnects before the response ends is reported once, and further writes have no effect") {
   const auto example = GENERATE(values<LeavingCase>({
       {"closes while it waits", false, [](RawConnection& peer) { peer.close(); }},
       {"resets while it waits", false, [](RawConnection& peer) { peer.reset(); }},
@@ -190,7 +191,7 @@
   CHECK(closed == 1);
 }
 
-TEST_CASE("onClosed set after the peer has left is still called") {
+TEST_CASE("onClosed is called even if set after the peer has disconnected") {
   EchoServer echo;
   {
     RawConnection peer = RawConnection::connect(echo.server->port());
@@ -203,7 +204,7 @@
   CHECK(echo.loop.runUntil([&] { return closed; }));
 }
 
-TEST_CASE("a slow reader is seen in bufferedBytes, and onDrained comes once it has caught up") {
+TEST_CASE("bufferedBytes grows for a slow reader, and onDrained is called once it has caught up") {
   constexpr std::size_t kTotal = 32 << 20;
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port(), 4096);
@@ -250,7 +251,7 @@
   CHECK_FALSE(seen.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("a dropped writer answers 500, or cuts a stream that has begun") {
+TEST_CASE("a destroyed writer sends a 500 response or aborts a started stream") {
   const bool streaming = GENERATE(false, true);
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port());
@@ -267,7 +268,7 @@
   CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("an exception of the handler is answered with 500 and the server serves on") {
+TEST_CASE("an exception thrown by the handler results in a 500 response, and the server stays available") {
   Loop loop;
   const auto server = createServer(loop.dispatcher(), {}, [](const Request&, const ResponseWriterPtr&) {
     throw std::runtime_error("fault of a handler");
@@ -284,7 +285,8 @@
 }
 
 TEST_CASE(
-    "after stopListening a request in flight is answered and its connection closed, new ones are refused") {
+    "after stopListening a request in flight is answered and its connection closed, new connections are "
+    "refused") {
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port());
   peer.write("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -299,7 +301,7 @@
   CHECK(echo.server->openRequests() == 0);
 }
 
-TEST_CASE("destroying the server cuts open requests and leaves their writers harmless") {
+TEST_CASE("destroying the server aborts open requests, and their writers may still be used") {
   const bool streaming = GENERATE(false, true);
   EchoServer echo;
   RawConnection peer = RawConnection::connect(echo.server->port());
@@ -318,7 +320,7 @@
   CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("an address in use is refused unless the port is shared") {
+TEST_CASE("binding an address in use fails unless the port is shared") {
   Loop loop;
   const auto ignore = [](const Request&, const ResponseWriterPtr&) {};
   ServerSettings settings;
@@ -338,7 +340,7 @@
   }
 }
 
-TEST_CASE("an idle connection is closed after the idle timeout, one that waits for its answer isn't") {
+TEST_CASE("the idle timeout closes an idle connection but not one that waits for its response") {
   ServerSettings settings;
   settings.idle_timeout = std::chrono::seconds(1);
   EchoServer echo(settings);
--- a/tests/http/server_test.cc
+++ b/tests/http/server_test.cc
@@ -8,7 +8,7 @@
 namespace ferryrock::http {
 namespace {
 
-TEST_CASE("a whole answer reaches the client") {
+TEST_CASE("a complete response reaches the client") {
   Loop loop;
   const auto server =
       createServer(loop.dispatcher(), {}, [](Request request, const ResponseWriterPtr& writer) {
@@ -27,7 +27,7 @@
   CHECK(findHeader(record.headers, "X-QUERY") == "d");
 }
 
-TEST_CASE("a stream reaches the client piece by piece and ends") {
+TEST_CASE("a stream reaches the client incrementally and ends") {
   Loop loop;
   ResponseWriterPtr writer;
   const auto server = createServer(
@@ -49,7 +49,7 @@
   CHECK(record.complete);
 }
 
-TEST_CASE("an aborted stream is seen as cut, with all that was written before") {
+TEST_CASE("an aborted stream is reported as truncated after all bytes written before") {
   Loop loop;
   const auto server =
       createServer(loop.dispatcher(), {}, [](const Request&, const ResponseWriterPtr& writer) {
