--- a/src/common/bounded_output.cc
+++ b/src/common/bounded_output.cc
@@ -9,10 +9,10 @@
 namespace {
 
 /// Upper bound of one write: a pipe that polls as writable accepts PIPE_BUF (4,096) bytes without blocking.
-constexpr std::size_t kBytesAtOnce = 4096;
-constexpr std::size_t kLongestLine = 4000;
+constexpr std::size_t kMaxWriteBytes = 4096;
+constexpr std::size_t kMaxLineBytes = 4000;
 
-bool takesBytes(int descriptor) {
+bool acceptsBytes(int descriptor) {
   pollfd state{descriptor, POLLOUT, 0};
   return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
@@ -26,12 +26,12 @@
 }
 
 void BoundedOutput::addLocked(std::string line) {
-  if (line.size() > kLongestLine) {
-    line.resize(kLongestLine);
+  if (line.size() > kMaxLineBytes) {
+    line.resize(kMaxLineBytes);
   }
   if (bytes_ + line.size() + 1 > max_bytes_) {
     ++dropped_;
-    ++untold_;
+    ++unreported_drops_;
     return;
   }
   line += '\n';
@@ -50,9 +50,9 @@
 }
 
 void BoundedOutput::flushLocked() {
-  while (!lines_.empty() && takesBytes(descriptor_)) {
+  while (!lines_.empty() && acceptsBytes(descriptor_)) {
     std::string batch;
-    while (!lines_.empty() && batch.size() + lines_.front().size() <= kBytesAtOnce) {
+    while (!lines_.empty() && batch.size() + lines_.front().size() <= kMaxWriteBytes) {
       batch += lines_.front();
       bytes_ -= lines_.front().size();
       lines_.pop_front();
@@ -66,9 +66,9 @@
       return;
     }
   }
-  if (lines_.empty() && untold_ > 0) {
+  if (lines_.empty() && unreported_drops_ > 0) {
     addLocked(R"({"level":"warning","part":"log","event":"log.dropped","lines":)" +
-              std::to_string(std::exchange(untold_, 0)) + "}");
+              std::to_string(std::exchange(unreported_drops_, 0)) + "}");
   }
 }
 
--- a/src/common/bounded_output.h
+++ b/src/common/bounded_output.h
@@ -35,7 +35,7 @@
   std::deque<std::string> lines_;
   std::size_t bytes_ = 0;
   std::uint64_t dropped_ = 0;
-  std::uint64_t untold_ = 0;  ///< lines dropped since the last log.dropped line
+  std::uint64_t unreported_drops_ = 0;  ///< lines dropped since the last log.dropped line
 };
 
 }  // namespace ferryrock
--- a/src/common/event_log.cc
+++ b/src/common/event_log.cc
@@ -13,10 +13,10 @@
 namespace {
 
 /// Token bucket of one event name.
-struct KindRate {
+struct EventRate {
   double tokens = 0;
   TimePoint refilled{};
-  std::uint64_t left_out = 0;
+  std::uint64_t suppressed_lines = 0;
 };
 
 void appendNumber(std::string& line, std::int64_t number) {
@@ -50,7 +50,7 @@
 }  // namespace
 
 std::string eventLine(std::string_view time, LogLevel level, std::string_view part, std::string_view event,
-                      std::initializer_list<LogField> fields, std::uint64_t left_out) {
+                      std::initializer_list<LogField> fields, std::uint64_t suppressed_lines) {
   std::string line = "{\"time\":";
   appendJsonString(line, time);
   appendMember(line, "level", levelName(level));
@@ -62,9 +62,9 @@
     line += "\":";
     appendValue(line, field);
   }
-  if (left_out > 0) {
+  if (suppressed_lines > 0) {
     line += ",\"left_out\":";
-    appendNumber(line, static_cast<std::int64_t>(left_out));
+    appendNumber(line, static_cast<std::int64_t>(suppressed_lines));
   }
   line += '}';
   return line;
@@ -74,7 +74,7 @@
   TimeSource& time_source;
   std::string part;
   EventLogLimits limits;
-  std::map<std::string, KindRate, std::less<>> rates;
+  std::map<std::string, EventRate, std::less<>> rates;
 
   /// Returns the number of lines suppressed since the last admitted line of this event name, or -1 if the
   /// rate limit suppresses this line.
@@ -82,18 +82,18 @@
     const TimePoint now = time_source.monotonicTime();
     auto found = rates.find(event);
     if (found == rates.end()) {
-      found = rates.emplace(std::string(event), KindRate{limits.burst, now, 0}).first;
+      found = rates.emplace(std::string(event), EventRate{limits.burst, now, 0}).first;
     }
-    KindRate& rate = found->second;
+    EventRate& rate = found->second;
     const double passed = toSeconds(now - rate.refilled);
     rate.tokens = std::min(limits.burst, rate.tokens + passed * limits.lines_per_second);
     rate.refilled = now;
     if (rate.tokens < 1) {
-      ++rate.left_out;
+      ++rate.suppressed_lines;
       return -1;
     }
     rate.tokens -= 1;
-    return static_cast<std::int64_t>(std::exchange(rate.left_out, 0));
+    return static_cast<std::int64_t>(std::exchange(rate.suppressed_lines, 0));
   }
 };
 
@@ -107,10 +107,10 @@
   if (!logEnabled(level)) {
     return;
   }
-  const std::int64_t left_out = state_->admit(event);
-  if (left_out >= 0) {
+  const std::int64_t suppressed_lines = state_->admit(event);
+  if (suppressed_lines >= 0) {
     logLine(level, eventLine(logTimestamp(), level, state_->part, event, fields,
-                             static_cast<std::uint64_t>(left_out)));
+                             static_cast<std::uint64_t>(suppressed_lines)));
   }
 }
 
--- a/src/common/event_log.h
+++ b/src/common/event_log.h
@@ -40,7 +40,7 @@
 };
 
 /// Writes lines through the logging library. Lines beyond the rate limit of their event name are suppressed;
-/// the next admitted line of that name reports how many in its field left_out. Used by one thread.
+/// the next admitted line of that name reports how many in its field suppressed_lines. Used by one thread.
 class RateLimitedEventLog : public EventLog {
  public:
   RateLimitedEventLog(TimeSource& time_source, std::string part, EventLogLimits limits);
@@ -54,6 +54,6 @@
 
 /// Formats {"time":..,"level":..,"part":..,"event":..,fields}; the caller supplies the time.
 std::string eventLine(std::string_view time, LogLevel level, std::string_view part, std::string_view event,
-                      std::initializer_list<LogField> fields, std::uint64_t left_out);
+                      std::initializer_list<LogField> fields, std::uint64_t suppressed_lines);
 
 }  // namespace ferryrock
--- a/src/event/ace_dispatcher.cc
+++ b/src/event/ace_dispatcher.cc
@@ -32,8 +32,8 @@
 
 using MonotonicTimerQueue = ACE_Timer_Heap_Variable_Time_Source;
 
-constexpr std::size_t kMaximumTimers = 100'000;
-constexpr std::size_t kMaximumReactorHandles = 1024;
+constexpr std::size_t kMaxTimers = 100'000;
+constexpr std::size_t kMaxReactorHandles = 1024;
 
 /// Clock of the timer queue: changes of the wall clock don't affect timers, and timers that expire while the
 /// machine is suspended run when it resumes.
@@ -177,9 +177,9 @@
 class AceDispatcher : public Dispatcher {
  public:
   AceDispatcher()
-      : timer_queue_(kMaximumTimers, false, nullptr, nullptr, ACE_FPointer_Time_Policy(&monotonicNow)),
+      : timer_queue_(kMaxTimers, false, nullptr, nullptr, ACE_FPointer_Time_Policy(&monotonicNow)),
         handler_(*this),
-        poll_reactor_(kMaximumReactorHandles, true),
+        poll_reactor_(kMaxReactorHandles, true),
         reactor_(&poll_reactor_) {
     std::signal(SIGPIPE, SIG_IGN);
     open_file_limit_.restore();
@@ -288,7 +288,7 @@
     armed_.erase(expiry.number);
     timer_queue_.cancel(expiry.queue_id);
   }
-  void forget(std::uint64_t expiry) { armed_.erase(expiry); }
+  void releaseExpiry(std::uint64_t expiry) { armed_.erase(expiry); }
   void expire(std::uint64_t expiry) {
     const auto found = armed_.find(expiry);
     if (found != armed_.end()) {
@@ -386,7 +386,7 @@
 }
 
 void AceTimer::expire() {
-  dispatcher_.forget(std::exchange(expiry_, 0));
+  dispatcher_.releaseExpiry(std::exchange(expiry_, 0));
   const std::shared_ptr<Callback> callback = callback_;  // keeps the callback valid if it destroys the timer
   (*callback)();
 }
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -15,7 +15,7 @@
 
 /// Two connections per engine of a cell with 4,000 engines; beyond this bound each further call would open a
 /// new connection.
-constexpr long kMaximumIdleConnections = 8192;
+constexpr long kMaxIdleConnections = 8192;
 
 class CurlClient;
 
@@ -33,7 +33,7 @@
   bool headers_complete = false;
   bool headers_delivered = false;
   bool paused = false;
-  bool touched = false;
+  bool queued_for_delivery = false;
   bool ended = false;
   CURLcode result = CURLE_OK;
 };
@@ -51,7 +51,7 @@
     curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, &onTimer);
     curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
     curl_multi_setopt(multi_, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
-    curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kMaximumIdleConnections);
+    curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
   }
 
   ~CurlClient() override {
@@ -81,7 +81,7 @@
       curl_easy_pause(call->transfer.handle(), CURLPAUSE_CONT);
     }
     if (!paused) {
-      touch(call);
+      queueForDelivery(call);
       scheduleDelivery();
     }
   }
@@ -161,14 +161,14 @@
       CallState& call = *reinterpret_cast<CallState*>(context);
       call.ended = true;
       call.result = result;
-      touch(call.shared_from_this());
+      queueForDelivery(call.shared_from_this());
     }
   }
 
-  void touch(const CallPtr& call) {
-    if (!call->touched) {
-      call->touched = true;
-      touched_.push_back(call);
+  void queueForDelivery(const CallPtr& call) {
+    if (!call->queued_for_delivery) {
+      call->queued_for_delivery = true;
+      delivery_queue_.push_back(call);
     }
   }
 
@@ -193,9 +193,9 @@
   /// Invokes user callbacks, which may destroy calls and the client.
   void deliver() {
     const std::shared_ptr<bool> alive = alive_;
-    const std::vector<CallPtr> batch = std::exchange(touched_, {});
+    const std::vector<CallPtr> batch = std::exchange(delivery_queue_, {});
     for (const CallPtr& call : batch) {
-      call->touched = false;
+      call->queued_for_delivery = false;
     }
     for (const CallPtr& call : batch) {
       deliverTo(call);
@@ -213,7 +213,7 @@
   std::unique_ptr<event::Timer> timer_;
   std::unordered_map<curl_socket_t, std::unique_ptr<event::FileWatch>> sockets_;
   std::unordered_set<CallPtr> calls_;
-  std::vector<CallPtr> touched_;
+  std::vector<CallPtr> delivery_queue_;
   bool timeout_scheduled_ = false;
   bool delivery_scheduled_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(
@@ -276,7 +276,7 @@
     return size * count;
   }
   call.headers_complete = true;
-  call.client->touch(call.shared_from_this());
+  call.client->queueForDelivery(call.shared_from_this());
   return size * count;
 }
 
@@ -286,27 +286,27 @@
     return CURL_WRITEFUNC_PAUSE;
   }
   call.data.append(bytes, size * count);
-  call.client->touch(call.shared_from_this());
+  call.client->queueForDelivery(call.shared_from_this());
   return size * count;
 }
 
 void CurlClient::deliverTo(const CallPtr& call) {
-  const auto wanted = [&call] { return call->client != nullptr; };
-  if (wanted() && call->headers_complete && !call->headers_delivered) {
+  const auto notCancelled = [&call] { return call->client != nullptr; };
+  if (notCancelled() && call->headers_complete && !call->headers_delivered) {
     call->headers_delivered = true;
     const auto on_headers = call->callbacks.on_headers;
     if (on_headers) {
       on_headers(static_cast<int>(call->transfer.status()), call->headers);
     }
   }
-  if (wanted() && !call->paused && !call->data.empty()) {
+  if (notCancelled() && !call->paused && !call->data.empty()) {
     const std::string data = std::exchange(call->data, {});
     const auto on_data = call->callbacks.on_data;
     if (on_data) {
       on_data(data);
     }
   }
-  if (wanted() && !call->paused && call->ended) {
+  if (notCancelled() && !call->paused && call->ended) {
     deliverEnd(call);
   }
 }
--- a/src/http/curl_request.cc
+++ b/src/http/curl_request.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-int limitSilence(void* /*data*/, curl_socket_t socket, curlsocktype /*purpose*/) {
-  return setSilenceLimits(socket) ? CURL_SOCKOPT_OK : CURL_SOCKOPT_ERROR;
+int configureSocket(void* /*data*/, curl_socket_t socket, curlsocktype /*purpose*/) {
+  return setUnresponsivePeerTimeouts(socket) ? CURL_SOCKOPT_OK : CURL_SOCKOPT_ERROR;
 }
 
 }  // namespace
@@ -62,7 +62,7 @@
   if (!request_.ca_file.empty()) {
     curl_easy_setopt(curl, CURLOPT_CAINFO, request_.ca_file.c_str());
   }
-  curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, &limitSilence);
+  curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, &configureSocket);
   curl_easy_setopt(curl, CURLOPT_PREREQFUNCTION, &beforeSend);
   curl_easy_setopt(curl, CURLOPT_PREREQDATA, this);
   if (request_.exact_headers) {
--- a/src/http/exchange.cc
+++ b/src/http/exchange.cc
@@ -47,7 +47,7 @@
     suspend();
     return MHD_YES;
   }
-  return queueAnswer();
+  return queueResponse();
 }
 
 void Exchange::peerClosed() {
@@ -59,7 +59,7 @@
   resume();
 }
 
-void Exchange::connectionDone(bool complete) {
+void Exchange::requestEnded(bool complete) {
   connection_ = nullptr;
   suspended_ = false;
   if (!complete) {
@@ -68,7 +68,7 @@
   phase_ = complete ? Phase::Finished : Phase::Aborted;
 }
 
-void Exchange::ownerGone() {
+void Exchange::ownerDestroyed() {
   if (phase_ == Phase::Waiting || phase_ == Phase::Streaming) {
     phase_ = Phase::Aborted;
   }
@@ -139,7 +139,7 @@
 }
 
 ssize_t Exchange::readContent(void* context, std::uint64_t /*position*/, char* buffer, std::size_t size) {
-  return (*static_cast<std::shared_ptr<Exchange>*>(context))->takeContent(buffer, size);
+  return (*static_cast<std::shared_ptr<Exchange>*>(context))->readPending(buffer, size);
 }
 
 void Exchange::releaseContent(void* context) {
@@ -147,16 +147,16 @@
 }
 
 /// Called when libmicrohttpd has sent all bytes that it received earlier.
-ssize_t Exchange::takeContent(char* buffer, std::size_t size) {
-  handed_over_ = 0;
-  const std::size_t count = std::min(size, pending_.size() - taken_);
+ssize_t Exchange::readPending(char* buffer, std::size_t size) {
+  unsent_bytes_ = 0;
+  const std::size_t count = std::min(size, pending_.size() - pending_offset_);
   if (count > 0) {
-    std::memcpy(buffer, pending_.data() + taken_, count);
-    taken_ += count;
-    handed_over_ = count;
-    if (taken_ == pending_.size()) {
+    std::memcpy(buffer, pending_.data() + pending_offset_, count);
+    pending_offset_ += count;
+    unsent_bytes_ = count;
+    if (pending_offset_ == pending_.size()) {
       pending_.clear();
-      taken_ = 0;
+      pending_offset_ = 0;
     }
     return static_cast<ssize_t>(count);
   }
@@ -179,7 +179,7 @@
   return 0;
 }
 
-MHD_Result Exchange::queueAnswer() {
+MHD_Result Exchange::queueResponse() {
   if (queued_) {
     return MHD_YES;
   }
@@ -255,7 +255,7 @@
 /// libmicrohttpd closes with a FIN; connect(2) with AF_UNSPEC dissolves the association and sends a RST
 /// first.
 void Exchange::resetConnection() const {
-  if (chunked_answers_ || connection_ == nullptr) {
+  if (chunked_responses_ || connection_ == nullptr) {
     return;
   }
   const MHD_ConnectionInfo* info = MHD_get_connection_info(connection_, MHD_CONNECTION_INFO_CONNECTION_FD);
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -24,11 +24,11 @@
 };
 
 /// One request and its response on a libmicrohttpd connection. Shared by the connection and the
-/// ResponseWriter; the server calls connectionDone() when the connection releases the exchange.
+/// ResponseWriter; the server calls requestEnded() when the connection releases the exchange.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
-  Exchange(ExchangeOwner& owner, MHD_Connection* connection, bool chunked_answers)
-      : owner_(&owner), connection_(connection), chunked_answers_(chunked_answers) {}
+  Exchange(ExchangeOwner& owner, MHD_Connection* connection, bool chunked_responses)
+      : owner_(&owner), connection_(connection), chunked_responses_(chunked_responses) {}
 
   // For the server, within libmicrohttpd's callbacks.
 
@@ -45,9 +45,9 @@
   /// Handles that the peer has closed its sending side: notifies the writer and ends the connection.
   void peerClosed();
   /// Handles that libmicrohttpd has ended the request; the connection isn't used afterwards.
-  void connectionDone(bool complete);
+  void requestEnded(bool complete);
   /// Detaches the exchange from a server that is being destroyed.
-  void ownerGone();
+  void ownerDestroyed();
 
   // For the writer.
 
@@ -57,7 +57,7 @@
   void finish();
   void abort();
   void abandon();
-  std::size_t bufferedBytes() const { return pending_.size() + handed_over_; }
+  std::size_t bufferedBytes() const { return pending_.size() + unsent_bytes_; }
   void onClosed(event::Callback callback);
   void onDrained(event::Callback callback) { on_drained_ = std::move(callback); }
 
@@ -67,8 +67,8 @@
   static ssize_t readContent(void* context, std::uint64_t position, char* buffer, std::size_t size);
   static void releaseContent(void* context);
 
-  ssize_t takeContent(char* buffer, std::size_t size);
-  MHD_Result queueAnswer();
+  ssize_t readPending(char* buffer, std::size_t size);
+  MHD_Result queueResponse();
   MHD_Response* createResponse();
   void addHeaders(MHD_Response* response) const;
   void suspend();
@@ -78,7 +78,7 @@
 
   ExchangeOwner* owner_;
   MHD_Connection* connection_;
-  bool chunked_answers_;  ///< false for HTTP/1.0 peers, which detect a truncated response only by a reset
+  bool chunked_responses_;  ///< false for HTTP/1.0 peers, which detect a truncated response only by a reset
   Phase phase_ = Phase::Waiting;
   bool answering_ = false;
   bool suspended_ = false;
@@ -86,9 +86,9 @@
   bool closed_ = false;
   int status_ = 0;
   Headers headers_;
-  std::string pending_;          ///< written, not yet passed to libmicrohttpd
-  std::size_t taken_ = 0;        ///< bytes at the start of pending_ that are already passed on
-  std::size_t handed_over_ = 0;  ///< held by libmicrohttpd, not yet sent
+  std::string pending_;             ///< written, not yet passed to libmicrohttpd
+  std::size_t pending_offset_ = 0;  ///< bytes at the start of pending_ that are already passed on
+  std::size_t unsent_bytes_ = 0;    ///< held by libmicrohttpd, not yet sent
   event::Callback on_closed_;
   event::Callback on_drained_;
 };
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -20,11 +20,11 @@
 namespace ferryrock::http {
 namespace {
 
-constexpr unsigned kMaximumConnections = 20'000;
-constexpr int kMaximumRounds = 16;
+constexpr unsigned kMaxConnections = 20'000;
+constexpr int kMaxRoundsPerRun = 16;
 /// A body over the limit is read and discarded up to this size, so that its sender receives the error
 /// response instead of a reset.
-constexpr std::size_t kMaximumDiscardedBytes = 64 << 20;
+constexpr std::size_t kMaxDiscardedBytes = 64 << 20;
 
 const Logger kLog("http");
 
@@ -68,7 +68,7 @@
     *alive_ = false;
     watch_.reset();
     for (const std::shared_ptr<Exchange>& exchange : std::vector(exchanges_.begin(), exchanges_.end())) {
-      exchange->ownerGone();
+      exchange->ownerDestroyed();
     }
     closeListener();
     MHD_stop_daemon(daemon_);
@@ -84,14 +84,14 @@
     closeListener();
   }
 
-  void closeAfterAnswers() override { close_after_answers_ = true; }
+  void closeAfterAnswers() override { close_after_responses_ = true; }
 
   /// libmicrohttpd closes idle connections only by timeout, so the timeout is set to its minimum.
   void closeIdleConnections() override {
-    constexpr unsigned kShortestTimeoutSeconds = 1;
+    constexpr unsigned kMinTimeoutSeconds = 1;
     for (const Connection* connection : connections_) {
       if (connection->current.expired()) {
-        MHD_set_connection_option(connection->handle, MHD_CONNECTION_OPTION_TIMEOUT, kShortestTimeoutSeconds);
+        MHD_set_connection_option(connection->handle, MHD_CONNECTION_OPTION_TIMEOUT, kMinTimeoutSeconds);
       }
     }
     run();
@@ -132,7 +132,7 @@
         {MHD_OPTION_URI_LOG_CALLBACK, reinterpret_cast<std::intptr_t>(&onTarget), this},
         {MHD_OPTION_NOTIFY_CONNECTION, reinterpret_cast<std::intptr_t>(&onConnection), this},
         {MHD_OPTION_LISTEN_SOCKET, listener, nullptr},
-        {MHD_OPTION_CONNECTION_LIMIT, kMaximumConnections, nullptr},
+        {MHD_OPTION_CONNECTION_LIMIT, kMaxConnections, nullptr},
         {MHD_OPTION_CONNECTION_TIMEOUT,
          std::chrono::ceil<std::chrono::seconds>(settings_.idle_timeout).count(), nullptr},
         {MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1, nullptr},
@@ -169,7 +169,7 @@
     });
   }
 
-  bool closing() const override { return closing_ || close_after_answers_; }
+  bool closing() const override { return closing_ || close_after_responses_; }
 
   /// Runs libmicrohttpd until it has no immediate work left, for a bounded number of rounds so that other
   /// callbacks of the loop aren't starved.
@@ -180,7 +180,7 @@
     do {
       MHD_run(daemon_);
       has_timeout = MHD_get_timeout(daemon_, &milliseconds) == MHD_YES;
-    } while (has_timeout && milliseconds == 0 && ++rounds < kMaximumRounds);
+    } while (has_timeout && milliseconds == 0 && ++rounds < kMaxRoundsPerRun);
     if (has_timeout && milliseconds == 0) {
       scheduleRun();
     } else if (has_timeout) {
@@ -264,15 +264,15 @@
       return exchange.continueConnection();
     }
     if (*upload_size > 0) {
-      return server.takeBody(exchange, std::string_view(upload, std::exchange(*upload_size, 0)));
+      return server.appendBody(exchange, std::string_view(upload, std::exchange(*upload_size, 0)));
     }
     return server.answer(exchange, connection);
   }
 
   std::shared_ptr<Exchange> beginRequest(MHD_Connection* connection, const char* url, const char* method,
                                          const char* version) {
-    const bool chunked_answers = std::string_view(version) != MHD_HTTP_VERSION_1_0;
-    auto exchange = std::make_shared<Exchange>(*this, connection, chunked_answers);
+    const bool chunked_responses = std::string_view(version) != MHD_HTTP_VERSION_1_0;
+    auto exchange = std::make_shared<Exchange>(*this, connection, chunked_responses);
     exchange->request.method = method;
     exchange->request.path = url;
     MHD_get_connection_values(connection, MHD_HEADER_KIND, &appendHeader, &exchange->request.headers);
@@ -294,15 +294,15 @@
     }
     exchange.body_too_large = true;
     const bool waits = findHeader(exchange.request.headers, MHD_HTTP_HEADER_EXPECT).has_value();
-    if (!waits && announced <= kMaximumDiscardedBytes) {
+    if (!waits && announced <= kMaxDiscardedBytes) {
       return MHD_YES;
     }
     exchange.beginAnswering();
-    refuseBody(exchange);
+    rejectBody(exchange);
     return exchange.continueConnection();
   }
 
-  MHD_Result takeBody(Exchange& exchange, std::string_view bytes) {
+  MHD_Result appendBody(Exchange& exchange, std::string_view bytes) {
     std::string& body = exchange.request.body;
     if (!exchange.body_too_large && body.size() + bytes.size() <= settings_.max_body_bytes) {
       body.append(bytes);
@@ -311,13 +311,13 @@
     exchange.body_too_large = true;
     body = std::string();
     exchange.discarded_bytes += bytes.size();
-    return exchange.discarded_bytes <= kMaximumDiscardedBytes ? MHD_YES : MHD_NO;
+    return exchange.discarded_bytes <= kMaxDiscardedBytes ? MHD_YES : MHD_NO;
   }
 
   MHD_Result answer(Exchange& exchange, MHD_Connection* connection) {
     exchange.beginAnswering();
     if (exchange.body_too_large) {
-      refuseBody(exchange);
+      rejectBody(exchange);
       return exchange.continueConnection();
     }
     const bool peer_closed = stateOf(connection).peer_closed;
@@ -339,7 +339,7 @@
     }
   }
 
-  void refuseBody(Exchange& exchange) {
+  void rejectBody(Exchange& exchange) {
     const std::string limit = "The limit is " + std::to_string(settings_.max_body_bytes) + " bytes";
     exchange.respond(resultCodeInfo(ResultCode::BodyTooLarge).http_status, refusalHeaders(),
                      refusalBody(ResultCode::BodyTooLarge, limit));
@@ -360,7 +360,7 @@
     const std::unique_ptr<std::shared_ptr<Exchange>> exchange(
         static_cast<std::shared_ptr<Exchange>*>(std::exchange(*context, nullptr)));
     if (exchange) {
-      (*exchange)->connectionDone(code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+      (*exchange)->requestEnded(code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
       static_cast<MicrohttpdServer*>(self)->exchanges_.erase(*exchange);
     }
   }
@@ -377,7 +377,7 @@
   TimePoint armed_until_{};
   bool run_scheduled_ = false;
   bool closing_ = false;
-  bool close_after_answers_ = false;
+  bool close_after_responses_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(
       true);  ///< set to false on destruction, for posted callbacks that outlive the server
   std::unordered_set<std::shared_ptr<Exchange>> exchanges_;
--- a/src/process/platform_poller.cc
+++ b/src/process/platform_poller.cc
@@ -41,7 +41,7 @@
     if (std::exchange(reachable_, false)) {
       logger().warning("The platform's machine list can't be read from " + url_ + ": " + reason + ".");
     }
-    pollAgain();
+    scheduleNextPoll();
   };
   request_ = client_.send(std::move(request), std::move(callbacks));
 }
@@ -56,10 +56,10 @@
   } catch (const Error& fault) {
     logger().warning("The platform's machine list is invalid: " + fault.detail() + ".");
   }
-  pollAgain();
+  scheduleNextPoll();
 }
 
-void PlatformPoller::pollAgain() {
+void PlatformPoller::scheduleNextPoll() {
   timer_->enable(kPollInterval);
 }
 
--- a/src/process/platform_poller.h
+++ b/src/process/platform_poller.h
@@ -20,7 +20,7 @@
  private:
   void poll();
   void complete();
-  void pollAgain();
+  void scheduleNextPoll();
 
   http::Client& client_;
   std::string url_;
--- a/src/process/shared_settings.cc
+++ b/src/process/shared_settings.cc
@@ -97,13 +97,13 @@
 http::ServerSettings listenSettings(const std::string& address, const TlsSettings& tls,
                                     std::size_t max_body_bytes) {
   const HostAndPort parsed = parseAddress(address);
-  http::ServerSettings wanted;
-  wanted.address = parsed.host;
-  wanted.port = parsed.port;
-  wanted.max_body_bytes = max_body_bytes;
-  wanted.tls_certificate_file = tls.certificate_file;
-  wanted.tls_key_file = tls.key_file;
-  return wanted;
+  http::ServerSettings settings;
+  settings.address = parsed.host;
+  settings.port = parsed.port;
+  settings.max_body_bytes = max_body_bytes;
+  settings.tls_certificate_file = tls.certificate_file;
+  settings.tls_key_file = tls.key_file;
+  return settings;
 }
 
 std::string readTextFile(const std::string& file) {
--- a/src/transport/zeromq_transport.cc
+++ b/src/transport/zeromq_transport.cc
@@ -20,27 +20,27 @@
 constexpr int kLingerMs = 100;
 constexpr int kReconnectMs = 100;
 /// Upper bound of the reconnect interval, also when hundreds of peers restart at the same time.
-constexpr int kReconnectMaximumMs = 200;
+constexpr int kMaxReconnectMs = 200;
 /// Dead peers are detected by TCP keepalive probes and the timeout of unacknowledged data. ZeroMQ's own
 /// heartbeats aren't used: if a connection breaks while received messages are unread, the heartbeat timer
 /// aborts the process with an assertion (4.3.4, stream_engine_base.cpp: out_event() after an input/output
 /// error).
-constexpr int kProbeSeconds = 1;
-constexpr int kProbes = 3;
+constexpr int kKeepaliveProbeSeconds = 1;
+constexpr int kKeepaliveProbes = 3;
 /// Timeout after which a connection is closed if sent data stays unacknowledged or the peer's receive window
 /// stays full. A catalog must be in force within 2 s of its acknowledgement; of these, a router's status
 /// takes 250 ms, the reconnection 200 ms and a retransmission on a lossy link 200 ms.
-constexpr int kUnacknowledgedMs = 1200;
+constexpr int kUnacknowledgedTimeoutMs = 1200;
 /// Timeout of a connection attempt. Without it, an attempt started during a network partition succeeds only
 /// when the kernel retransmits the SYN, up to tens of seconds after the partition ends. The value is below
 /// the kernel's first retransmission after 1 s and many times the latency between any two zones.
-constexpr int kConnectMs = 500;
+constexpr int kConnectTimeoutMs = 500;
 /// Backlog of connections that aren't accepted yet: 300 routers may reconnect at the same time.
 constexpr int kBacklog = 512;
-constexpr int kHandshakeMs = 2000;
-constexpr std::int64_t kMaximumMessageBytes = 256 << 20;
+constexpr int kHandshakeTimeoutMs = 2000;
+constexpr std::int64_t kMaxMessageBytes = 256 << 20;
 /// Messages received from one socket before the dispatcher runs other callbacks.
-constexpr int kMessagesPerTurn = 64;
+constexpr int kMaxMessagesPerDrain = 64;
 
 struct PeerKey {
   NodeName node;
@@ -71,7 +71,7 @@
     if (queued) {
       ++counts_.sent;
       counts_.sent_bytes += bytes.size();
-      note(counts_.sent_by_kind, message, bytes.size());
+      recordTraffic(counts_.sent_by_kind, message, bytes.size());
     } else {
       ++counts_.dropped;
     }
@@ -108,20 +108,21 @@
   void setPeers(std::vector<Peer> peers) override {
     peers_ = std::move(peers);
     std::map<std::string, std::string> node_by_key;
-    std::set<PeerKey> wanted;
+    std::set<PeerKey> configured_peers;
     for (const Peer& peer : peers_) {
       if (!peer.public_key.empty()) {
         node_by_key[peer.public_key] = peer.node.value;
       }
       if (!peer.address.empty() && peer.node != settings_.node) {
-        wanted.insert({peer.node, peer.address, peer.public_key});
+        configured_peers.insert({peer.node, peer.address, peer.public_key});
       }
     }
     if (authenticator_) {
       authenticator_->allow(std::move(node_by_key));
     }
-    std::erase_if(connections_, [&wanted](const auto& item) { return !wanted.contains(item.first); });
-    for (const PeerKey& key : wanted) {
+    std::erase_if(connections_,
+                  [&configured_peers](const auto& item) { return !configured_peers.contains(item.first); });
+    for (const PeerKey& key : configured_peers) {
       if (!connections_.contains(key)) {
         connect(key);
       }
@@ -148,16 +149,16 @@
     socket.set(zmq::sockopt::linger, kLingerMs);
     socket.set(zmq::sockopt::sndhwm, high_water_mark);
     socket.set(zmq::sockopt::rcvhwm, static_cast<int>(settings_.receive_high_water_mark));
-    socket.set(zmq::sockopt::maxmsgsize, kMaximumMessageBytes);
+    socket.set(zmq::sockopt::maxmsgsize, kMaxMessageBytes);
     socket.set(zmq::sockopt::tcp_keepalive, 1);
-    socket.set(zmq::sockopt::tcp_keepalive_idle, kProbeSeconds);
-    socket.set(zmq::sockopt::tcp_keepalive_intvl, kProbeSeconds);
-    socket.set(zmq::sockopt::tcp_keepalive_cnt, kProbes);
-    socket.set(zmq::sockopt::tcp_maxrt, kUnacknowledgedMs);
-    socket.set(zmq::sockopt::handshake_ivl, kHandshakeMs);
-    socket.set(zmq::sockopt::connect_timeout, kConnectMs);
+    socket.set(zmq::sockopt::tcp_keepalive_idle, kKeepaliveProbeSeconds);
+    socket.set(zmq::sockopt::tcp_keepalive_intvl, kKeepaliveProbeSeconds);
+    socket.set(zmq::sockopt::tcp_keepalive_cnt, kKeepaliveProbes);
+    socket.set(zmq::sockopt::tcp_maxrt, kUnacknowledgedTimeoutMs);
+    socket.set(zmq::sockopt::handshake_ivl, kHandshakeTimeoutMs);
+    socket.set(zmq::sockopt::connect_timeout, kConnectTimeoutMs);
     socket.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
-    socket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaximumMs);
+    socket.set(zmq::sockopt::reconnect_ivl_max, kMaxReconnectMs);
   }
 
   void bindListener() {
@@ -247,7 +248,7 @@
   /// ZeroMQ's descriptor is edge-triggered, so the pending events are checked after each send and receive.
   static bool hasInput(zmq::socket_t& socket) { return (socket.get(zmq::sockopt::events) & ZMQ_POLLIN) != 0; }
 
-  void postSafely(event::Callback callback) {
+  void postIfAlive(event::Callback callback) {
     dispatcher_.post([alive = alive_, callback = std::move(callback)] {
       if (*alive) {
         callback();
@@ -259,7 +260,7 @@
     if (!listener_ || std::exchange(listener_->drain_posted, true)) {
       return;
     }
-    postSafely([this] {
+    postIfAlive([this] {
       if (listener_) {
         listener_->drain_posted = false;
         drainListener();
@@ -271,7 +272,7 @@
     if (std::exchange(connection.drain_posted, true)) {
       return;
     }
-    postSafely([this, key] {
+    postIfAlive([this, key] {
       const auto found = connections_.find(key);
       if (found != connections_.end()) {
         found->second->drain_posted = false;
@@ -284,7 +285,7 @@
     if (!listener_) {
       return;
     }
-    for (int i = 0; i < kMessagesPerTurn; ++i) {
+    for (int i = 0; i < kMaxMessagesPerDrain; ++i) {
       if (!hasInput(listener_->socket)) {
         return;
       }
@@ -310,7 +311,7 @@
   }
 
   void drainConnection(const PeerKey& key) {
-    for (int i = 0; i < kMessagesPerTurn; ++i) {
+    for (int i = 0; i < kMaxMessagesPerDrain; ++i) {
       const auto found = connections_.find(key);  // the receive callback may have changed the peers
       if (found == connections_.end() || !hasInput(found->second->socket)) {
         return;
@@ -344,7 +345,7 @@
     return any;
   }
 
-  static void note(TrafficByKind& traffic, const wire::Message& message, std::size_t bytes) {
+  static void recordTraffic(TrafficByKind& traffic, const wire::Message& message, std::size_t bytes) {
     MessageTraffic& of_kind = traffic.at(message.index());
     ++of_kind.messages;
     of_kind.bytes += bytes;
@@ -359,7 +360,7 @@
         throw Error(ResultCode::PeerNotAllowed, "the envelope names the sender '" + envelope.from.value + "'",
                     sender.value);
       }
-      note(counts_.received_by_kind, envelope.message, body.size());
+      recordTraffic(counts_.received_by_kind, envelope.message, body.size());
       receive_(std::move(envelope));
     } catch (const Error& error) {
       if (error.code() != ResultCode::MalformedMessage &&
--- a/tests/event/suspended_machine.cc
+++ b/tests/event/suspended_machine.cc
@@ -50,11 +50,12 @@
 
 /// The kernel's clock lacks the simulated suspended time, so an absolute expiry is converted to kernel time.
 int armInKernel(const TimerSetting& timer, itimerspec* before) {
-  itimerspec kernels = timer.setting;
+  itimerspec kernel_setting = timer.setting;
   if (last_timer_clock == CLOCK_BOOTTIME && (timer.flags & TFD_TIMER_ABSTIME) != 0) {
-    add(kernels.it_value, -suspended_nanoseconds);
+    add(kernel_setting.it_value, -suspended_nanoseconds);
   }
-  return static_cast<int>(::syscall(SYS_timerfd_settime, timer.descriptor, timer.flags, &kernels, before));
+  return static_cast<int>(
+      ::syscall(SYS_timerfd_settime, timer.descriptor, timer.flags, &kernel_setting, before));
 }
 
 int setTimer(int descriptor, int flags, const itimerspec* setting, itimerspec* before) {
--- a/tests/http/client_test.cc
+++ b/tests/http/client_test.cc
@@ -125,7 +125,7 @@
 
 TEST_CASE("a receive-only connection is probed and closed if no probe is acknowledged") {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  REQUIRE(setSilenceLimits(socket));
+  REQUIRE(setUnresponsivePeerTimeouts(socket));
   const auto value = [socket](int level, int name) {
     int set = -1;
     socklen_t length = sizeof set;
@@ -136,7 +136,7 @@
   CHECK(value(IPPROTO_TCP, TCP_KEEPIDLE) + value(IPPROTO_TCP, TCP_KEEPINTVL) <= 2);
   CHECK(value(IPPROTO_TCP, TCP_USER_TIMEOUT) <= 2000);
   ::close(socket);
-  CHECK_FALSE(setSilenceLimits(socket));
+  CHECK_FALSE(setUnresponsivePeerTimeouts(socket));
 }
 
 TEST_CASE("a call that can't connect is reported as not sent") {
--- a/tests/http/raw_peer.cc
+++ b/tests/http/raw_peer.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t kReadBytes = std::size_t{64} * 1024;
-constexpr timeval kPatience{20, 0};
+constexpr timeval kIoTimeout{20, 0};
 
 std::size_t announcedBody(const std::string& headers) {
   constexpr std::string_view kName = "Content-Length: ";
@@ -28,8 +28,8 @@
 }  // namespace
 
 RawConnection::RawConnection(int descriptor) : descriptor_(descriptor) {
-  ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience);
-  ::setsockopt(descriptor_, SOL_SOCKET, SO_SNDTIMEO, &kPatience, sizeof kPatience);
+  ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &kIoTimeout, sizeof kIoTimeout);
+  ::setsockopt(descriptor_, SOL_SOCKET, SO_SNDTIMEO, &kIoTimeout, sizeof kIoTimeout);
 }
 
 RawConnection::~RawConnection() {
--- a/tests/transport/resetting_relay.cc
+++ b/tests/transport/resetting_relay.cc
@@ -28,7 +28,7 @@
 }
 
 /// Forwards available bytes. Returns false if the source is closed or the target accepts no more data.
-bool passSome(int from, int to) {
+bool forwardAvailable(int from, int to) {
   std::array<char, 4096> bytes{};
   const ssize_t count = ::recv(from, bytes.data(), bytes.size(), MSG_DONTWAIT);
   if (count < 0) {
@@ -73,7 +73,7 @@
 }
 
 ResettingRelay::~ResettingRelay() {
-  end_wanted_ = true;
+  stop_requested_ = true;
   thread_.join();
   for (const int descriptor : stalled_) {
     ::close(descriptor);
@@ -86,7 +86,7 @@
 }
 
 void ResettingRelay::serve() {
-  while (!end_wanted_) {
+  while (!stop_requested_) {
     if (!readable(listener_)) {
       continue;
     }
@@ -94,9 +94,9 @@
     const int server = ::socket(AF_INET, SOCK_STREAM, 0);
     const sockaddr_in target = loopback(server_port_);
     if (::connect(server, reinterpret_cast<const sockaddr*>(&target), sizeof target) == 0) {
-      pass(client, server);
+      forwardUntilStopped(client, server);
     }
-    if (stall_wanted_.exchange(false)) {
+    if (stall_requested_.exchange(false)) {
       stalled_.insert(stalled_.end(), {client, server});
       continue;
     }
@@ -105,11 +105,11 @@
   }
 }
 
-void ResettingRelay::pass(int client, int server) {
-  while (!end_wanted_ && !stall_wanted_ && !reset_wanted_.exchange(false)) {
+void ResettingRelay::forwardUntilStopped(int client, int server) {
+  while (!stop_requested_ && !stall_requested_ && !reset_requested_.exchange(false)) {
     std::array<pollfd, 2> watched{{{client, POLLIN, 0}, {server, POLLIN, 0}}};
     ::poll(watched.data(), watched.size(), kPollMilliseconds);
-    if (!passSome(client, server) || !passSome(server, client)) {
+    if (!forwardAvailable(client, server) || !forwardAvailable(server, client)) {
       return;
     }
   }
--- a/tests/transport/resetting_relay.h
+++ b/tests/transport/resetting_relay.h
@@ -21,23 +21,23 @@
 
   /// "127.0.0.1:port" that clients connect to.
   std::string address() const;
-  void reset() { reset_wanted_ = true; }
+  void reset() { reset_requested_ = true; }
   /// Stalls the current connection: it stays open, but only the kernel's buffers accept further data.
-  void stall() { stall_wanted_ = true; }
+  void stall() { stall_requested_ = true; }
 
  private:
   void serve();
   /// Forwards bytes until either side closes, or a reset, a stall or the relay's stop is requested.
-  void pass(int client, int server);
+  void forwardUntilStopped(int client, int server);
 
   std::uint16_t server_port_ = 0;
   int listener_ = -1;
   std::uint16_t port_ = 0;
-  std::atomic<bool> reset_wanted_{false};
-  std::atomic<bool> stall_wanted_{false};
+  std::atomic<bool> reset_requested_{false};
+  std::atomic<bool> stall_requested_{false};
   std::vector<int>
       stalled_;  ///< descriptors of stalled connections; used by the serving thread until it is joined
-  std::atomic<bool> end_wanted_{false};
+  std::atomic<bool> stop_requested_{false};
   std::thread thread_;
 };
 
--- a/tests/transport/transport_test.cc
+++ b/tests/transport/transport_test.cc
@@ -71,7 +71,7 @@
 }
 
 /// Sends up to 60 messages; returns true if the receiver has received nothing.
-bool staysUnreceived(event::Dispatcher& dispatcher, Node& from, const std::string& to, Node& receiver) {
+bool receivesNothing(event::Dispatcher& dispatcher, Node& from, const std::string& to, Node& receiver) {
   constexpr int kTries = 60;
   int tries = 0;
   runUntil(dispatcher, [&] {
@@ -173,7 +173,7 @@
   REQUIRE(sendUntilReceived(*dispatcher, control, "router", router));
   router.transport->setKeys(old_keys);
   control.received.clear();
-  CHECK(staysUnreceived(*dispatcher, router, "control", control));
+  CHECK(receivesNothing(*dispatcher, router, "control", control));
 }
 
 TEST_CASE("many messages arrive in order over one connection") {
@@ -232,7 +232,7 @@
   if (key_case.reaches) {
     CHECK(sendUntilReceived(*dispatcher, router, "control", control));
   } else {
-    CHECK(staysUnreceived(*dispatcher, router, "control", control));
+    CHECK(receivesNothing(*dispatcher, router, "control", control));
   }
 }
 
@@ -241,7 +241,7 @@
   Node control(*dispatcher, "control", "127.0.0.1:0", generateKeyPair());
   Node router(*dispatcher, "router", "");
   router.transport->setPeers({{NodeName{"control"}, control.transport->boundAddress(), ""}});
-  CHECK(staysUnreceived(*dispatcher, router, "control", control));
+  CHECK(receivesNothing(*dispatcher, router, "control", control));
 }
 
 TEST_CASE("keys are rotated without downtime: the old and the new key are accepted at the same time") {
@@ -268,11 +268,11 @@
 TEST_CASE("replying to a backlog of messages doesn't starve other callbacks of the loop") {
   constexpr std::size_t kBacklog = 5'000;
   /// One drain by the descriptor's event and one posted drain, each of 64 messages.
-  constexpr std::size_t kMostPerRound = 128;
+  constexpr std::size_t kMaxPerRound = 128;
   const auto dispatcher = event::createAceDispatcher();
   std::size_t received = 0;
   std::size_t at_last_round = 0;
-  std::size_t most_per_round = 0;
+  std::size_t max_per_round = 0;
   std::unique_ptr<Transport> server;
   TransportSettings settings;
   settings.node = NodeName{"server"};
@@ -288,7 +288,7 @@
     return received > 0;
   }));
   event::Callback each_round = [&] {
-    most_per_round = std::max(most_per_round, received - at_last_round);
+    max_per_round = std::max(max_per_round, received - at_last_round);
     at_last_round = received;
     dispatcher->post(each_round);
   };
@@ -298,8 +298,8 @@
   at_last_round = received;
   dispatcher->post(each_round);
   CHECK(runUntil(*dispatcher, [&] { return received >= kBacklog; }));
-  CHECK(most_per_round > 0);
-  CHECK(most_per_round <= kMostPerRound);
+  CHECK(max_per_round > 0);
+  CHECK(max_per_round <= kMaxPerRound);
 }
 
 TEST_CASE("a process restarted at the same address is reconnected") {
@@ -317,13 +317,13 @@
 /// The connection is reset while received messages are queued: ZeroMQ then keeps the connection's engine
 /// until the messages are read.
 TEST_CASE("a connection reset while its messages are unread doesn't abort the process") {
-  constexpr std::size_t kMark = 10;
-  constexpr int kMoreThanTheMark = 100;
+  constexpr std::size_t kHighWaterMark = 10;
+  constexpr int kMessagesBeyondMark = 100;
   const auto dispatcher = event::createAceDispatcher();
   TransportSettings settings;
   settings.node = NodeName{"control"};
   settings.listen_address = "127.0.0.1:0";
-  settings.high_water_mark = kMark;
+  settings.high_water_mark = kHighWaterMark;
   std::size_t received = 0;
   const auto receiver =
       createZeroMqTransport(*dispatcher, settings, [&](const wire::Envelope&) { ++received; });
@@ -335,7 +335,7 @@
     return received > 0;
   };
   REQUIRE(runUntil(*dispatcher, sendOne));
-  for (int i = 0; i < kMoreThanTheMark; ++i) {
+  for (int i = 0; i < kMessagesBeyondMark; ++i) {
     sender.transport->send(NodeName{"control"}, demand(1));
   }
   std::this_thread::sleep_for(300ms);  // nothing is read meanwhile
@@ -344,7 +344,7 @@
   const std::size_t before = received;  // queued messages may be lost, messages sent from now on arrive
   CHECK(runUntil(*dispatcher, [&] {
     sender.transport->send(NodeName{"control"}, demand(1));
-    return received > before + kMoreThanTheMark;
+    return received > before + kMessagesBeyondMark;
   }));
   CHECK(receiver->counts().malformed == 0);
 }
@@ -403,7 +403,7 @@
   std::this_thread::sleep_for(100ms);
   runUntil(*dispatcher, [&, tries = 0]() mutable { return ++tries > 10; });
   receiver.received.clear();
-  REQUIRE(staysUnreceived(*dispatcher, sender, "control", receiver));
+  REQUIRE(receivesNothing(*dispatcher, sender, "control", receiver));
   sender.transport->renew(NodeName{"control"});
   CHECK(sendUntilReceived(*dispatcher, sender, "control", receiver));
   CHECK(sendUntilReceived(*dispatcher, receiver, "router", sender));
