--- a/src/common/settings_reader.cc
+++ b/src/common/settings_reader.cc
@@ -283,7 +283,7 @@
         list += (list.empty() ? "" : ", ") + known;
       }
       throw Error(ResultCode::UnknownSetting,
-                  "'" + state_->pathOf(key) + "' isn't known here; known are " + list,
+                  "'" + state_->pathOf(key) + "' isn't a known setting; known settings are " + list,
                   state_->placeOf(item.first));
     }
   }
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -293,8 +293,8 @@
       return MHD_YES;
     }
     exchange.body_too_large = true;
-    const bool waits = findHeader(exchange.request.headers, MHD_HTTP_HEADER_EXPECT).has_value();
-    if (!waits && announced <= kMaxDiscardedBytes) {
+    const bool expects_continue = findHeader(exchange.request.headers, MHD_HTTP_HEADER_EXPECT).has_value();
+    if (!expects_continue && announced <= kMaxDiscardedBytes) {
       return MHD_YES;
     }
     exchange.beginAnswering();
--- a/tests/http/client_test.cc
+++ b/tests/http/client_test.cc
@@ -23,7 +23,7 @@
 namespace ferryrock::http {
 namespace {
 
-constexpr std::string_view kWholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr std::string_view kCompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 struct FaultCase {
   std::string name;
@@ -176,7 +176,7 @@
       INFO(method << " " << reuse.name);
       const ScriptedServer peer([&reuse](RawConnection& connection, int) {
         connection.readRequest();
-        connection.write(kWholeAnswer);
+        connection.write(kCompleteResponse);
         reuse.second(connection);
       });
       Loop loop;
@@ -205,7 +205,7 @@
       const std::scoped_lock lock(mutex);
       seen.push_back(request.substr(0, request.find(' ', 5)) + " on " + std::to_string(number));
     }
-    connection.write(kWholeAnswer);
+    connection.write(kCompleteResponse);
   });
   Loop loop;
   const auto client = createClient(loop.dispatcher());
@@ -240,7 +240,7 @@
       if (random.chance(0.2)) {
         break;
       }
-      connection.write(kWholeAnswer);
+      connection.write(kCompleteResponse);
     }
     if (random.chance(0.3)) {
       connection.reset();
@@ -310,7 +310,7 @@
 TEST_CASE("a call may be sent, and the client destroyed, within callbacks") {
   const ScriptedServer peer([](RawConnection& connection, int) {
     connection.readRequest();
-    connection.write(kWholeAnswer);
+    connection.write(kCompleteResponse);
   });
   Loop loop;
   auto client = createClient(loop.dispatcher());
@@ -377,7 +377,7 @@
   const ScriptedServer peer([](RawConnection& connection, int) {
     connection.readRequest();
     connection.write("HTTP/1.1 100 Continue\r\nX-Interim: 1\r\n\r\n");
-    connection.write(kWholeAnswer);
+    connection.write(kCompleteResponse);
   });
   Loop loop;
   const auto client = createClient(loop.dispatcher());
--- a/tests/http/server_fault_test.cc
+++ b/tests/http/server_fault_test.cc
@@ -146,15 +146,15 @@
   CHECK(both.find("waited;") < both.find("echo /1 0;"));
 }
 
-struct LeavingCase {
+struct DisconnectCase {
   std::string name;
   bool streaming;
-  std::function<void(RawConnection&)> leave;
+  std::function<void(RawConnection&)> disconnect;
 };
 
 TEST_CASE(
     "a peer that disconnects before the response ends is reported once, and further writes have no effect") {
-  const auto example = GENERATE(values<LeavingCase>({
+  const auto example = GENERATE(values<DisconnectCase>({
       {"closes while it waits", false, [](RawConnection& peer) { peer.close(); }},
       {"resets while it waits", false, [](RawConnection& peer) { peer.reset(); }},
       {"half closes while it waits", false, [](RawConnection& peer) { peer.closeSending(); }},
@@ -182,7 +182,7 @@
         [&] { return (seen += peer.readAvailable()).find("piece") != std::string::npos; }));
   }
   CHECK(closed == 0);
-  example.leave(peer);
+  example.disconnect(peer);
   REQUIRE(echo.loop.runUntil([&] { return closed > 0; }));
   echo.waiting->write("more");
   echo.waiting->finish();
