--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -216,8 +216,8 @@
   std::vector<CallPtr> delivery_queue_;
   bool timeout_scheduled_ = false;
   bool delivery_scheduled_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(
-      true);  ///< set to false on destruction, for posted callbacks that outlive the client
+  /// Set to false on destruction, for posted callbacks that outlive the client.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 class CurlCall : public ClientCall {
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -61,10 +61,10 @@
   bool reuse_port = false;           ///< SO_REUSEPORT, for several dispatchers on one port
   std::string tls_certificate_file;  ///< both files empty: plain HTTP
   std::string tls_key_file;
-  Duration idle_timeout = std::chrono::seconds(
-      120);  ///< time without progress on a connection; doesn't apply while a handler runs
-  std::function<Headers()>
-      refusal_headers;  ///< headers of error responses that the server itself generates; may be empty
+  /// Time without progress after which a connection is closed; doesn't apply while a handler runs.
+  Duration idle_timeout = std::chrono::seconds(120);
+  /// Headers of error responses that the server itself generates; may be empty.
+  std::function<Headers()> refusal_headers;
   /// Body of these error responses; if empty, errorBody() is used.
   std::function<std::string(ResultCode code, const std::string& detail)> refusal_body;
 };
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -378,8 +378,8 @@
   bool run_scheduled_ = false;
   bool closing_ = false;
   bool close_after_responses_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(
-      true);  ///< set to false on destruction, for posted callbacks that outlive the server
+  /// Set to false on destruction, for posted callbacks that outlive the server.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unordered_set<std::shared_ptr<Exchange>> exchanges_;
   std::unordered_set<const Connection*> connections_;  ///< open connections; owned by libmicrohttpd
 };
--- a/src/transport/zeromq_transport.cc
+++ b/src/transport/zeromq_transport.cc
@@ -19,7 +19,8 @@
 
 constexpr int kLingerMs = 100;
 constexpr int kReconnectMs = 100;
-/// Upper bound of the reconnect interval, also when hundreds of peers restart at the same time.
+/// Upper bound of the reconnect interval, so that a restarted peer is reconnected within this time even if
+/// hundreds of peers restart at once.
 constexpr int kMaxReconnectMs = 200;
 /// Dead peers are detected by TCP keepalive probes and the timeout of unacknowledged data. ZeroMQ's own
 /// heartbeats aren't used: if a connection breaks while received messages are unread, the heartbeat timer
@@ -52,8 +53,8 @@
 struct Connection {
   zmq::socket_t socket;
   std::unique_ptr<event::FileWatch> watch;
-  bool drain_posted =
-      false;  ///< at most one drain is posted per socket, as more would starve timers and other sockets
+  /// At most one drain is posted per socket, because more would starve timers and other sockets.
+  bool drain_posted = false;
 };
 
 class ZeroMqTransport : public Transport {
