--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -20,11 +20,11 @@
 namespace ferryrock::http {
 namespace {
 
-constexpr unsigned kMaximumConnections = 20'000;
-constexpr int kMaximumRounds = 16;
-/// A body over the limit is read to its end up to this size, so that its sender sees the answer instead of a
-/// reset.
-constexpr std::size_t kMaximumDiscardedBytes = 64 << 20;
+constexpr unsigned kMaxConnections = 20'000;
+constexpr int kMaxRoundsPerRun = 16;
+/// A body over the limit is read and discarded up to this size, so that its sender receives the error
+/// response instead of a reset.
+constexpr std::size_t kMaxDiscardedBytes = 64 << 20;
 
 const Logger kLog("http");
 
@@ -48,7 +48,7 @@
   std::unique_ptr<event::FileWatch> close_watch;
   std::weak_ptr<Exchange> current;
   bool peer_closed = false;
-  std::string target;  ///< of the request that is being read
+  std::string target;  ///< target of the request that is being read
 };
 
 class MicrohttpdServer : public Server, public ExchangeOwner {
@@ -68,7 +68,7 @@
     *alive_ = false;
     watch_.reset();
     for (const std::shared_ptr<Exchange>& exchange : std::vector(exchanges_.begin(), exchanges_.end())) {
-      exchange->ownerGone();
+      exchange->ownerDestroyed();
     }
     closeListener();
     MHD_stop_daemon(daemon_);
@@ -80,18 +80,18 @@
     if (closing_) {
       return;
     }
-    run();  // takes what has already connected
+    run();  // accepts connections that are already established
     closeListener();
   }
 
-  void closeAfterAnswers() override { close_after_answers_ = true; }
+  void closeAfterAnswers() override { close_after_responses_ = true; }
 
-  /// libmicrohttpd closes a connection by itself only after a time without progress.
+  /// libmicrohttpd closes idle connections only by timeout, so the timeout is set to its minimum.
   void closeIdleConnections() override {
-    constexpr unsigned kShortestTimeoutSeconds = 1;
+    constexpr unsigned kMinTimeoutSeconds = 1;
     for (const Connection* connection : connections_) {
       if (connection->current.expired()) {
-        MHD_set_connection_option(connection->handle, MHD_CONNECTION_OPTION_TIMEOUT, kShortestTimeoutSeconds);
+        MHD_set_connection_option(connection->handle, MHD_CONNECTION_OPTION_TIMEOUT, kMinTimeoutSeconds);
       }
     }
     run();
@@ -132,7 +132,7 @@
         {MHD_OPTION_URI_LOG_CALLBACK, reinterpret_cast<std::intptr_t>(&onTarget), this},
         {MHD_OPTION_NOTIFY_CONNECTION, reinterpret_cast<std::intptr_t>(&onConnection), this},
         {MHD_OPTION_LISTEN_SOCKET, listener, nullptr},
-        {MHD_OPTION_CONNECTION_LIMIT, kMaximumConnections, nullptr},
+        {MHD_OPTION_CONNECTION_LIMIT, kMaxConnections, nullptr},
         {MHD_OPTION_CONNECTION_TIMEOUT,
          std::chrono::ceil<std::chrono::seconds>(settings_.idle_timeout).count(), nullptr},
         {MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1, nullptr},
@@ -169,9 +169,10 @@
     });
   }
 
-  bool closing() const override { return closing_ || close_after_answers_; }
+  bool closing() const override { return closing_ || close_after_responses_; }
 
-  /// Runs libmicrohttpd until it has nothing left to do at once; other handlers get their turn now and then.
+  /// Runs libmicrohttpd until it has no immediate work left, for a bounded number of rounds so that other
+  /// callbacks of the loop aren't starved.
   void run() {
     MHD_UNSIGNED_LONG_LONG milliseconds = 0;
     bool has_timeout = false;
@@ -179,7 +180,7 @@
     do {
       MHD_run(daemon_);
       has_timeout = MHD_get_timeout(daemon_, &milliseconds) == MHD_YES;
-    } while (has_timeout && milliseconds == 0 && ++rounds < kMaximumRounds);
+    } while (has_timeout && milliseconds == 0 && ++rounds < kMaxRoundsPerRun);
     if (has_timeout && milliseconds == 0) {
       scheduleRun();
     } else if (has_timeout) {
@@ -187,8 +188,8 @@
     }
   }
 
-  /// Idle connections end later at each run, so an armed timer is left alone; it arms itself anew when it
-  /// fires.
+  /// Each run may postpone the idle timeout, so an earlier armed timer isn't re-armed; run() re-arms it after
+  /// it has fired.
   void armTimeout(Duration delay) {
     const TimePoint now = dispatcher_.timeSource().monotonicTime();
     if (armed_until_ <= now || now + delay < armed_until_) {
@@ -213,7 +214,8 @@
     return *static_cast<Connection*>(info->socket_context);
   }
 
-  /// Keeps the target as it was sent. What is returned becomes the request's context, which starts empty.
+  /// Stores the request target as received. The return value becomes the request's context, which is
+  /// initially null.
   static void* onTarget(void* /*self*/, const char* target, MHD_Connection* connection) {
     stateOf(connection).target = target;
     return nullptr;
@@ -238,10 +240,10 @@
     return opened;
   }
 
-  /// libmicrohttpd watches edge-triggered and misses an end that arrives together with the last bytes. Once
-  /// it has read these, shutting down the receiving side raises another event.
+  /// libmicrohttpd uses edge-triggered events and misses an end of stream that arrives together with the last
+  /// bytes. After these are read, shutting down the receiving side raises another event.
   void endReading(int descriptor) {
-    // The run may end the connection, whose descriptor then belongs to somebody else: keep the socket itself.
+    // run() may close the connection, after which its descriptor may be reused: a duplicate keeps the socket.
     const int socket = ::dup(descriptor);
     run();
     ::shutdown(socket, SHUT_RD);
@@ -262,15 +264,15 @@
       return exchange.continueConnection();
     }
     if (*upload_size > 0) {
-      return server.takeBody(exchange, std::string_view(upload, std::exchange(*upload_size, 0)));
+      return server.appendBody(exchange, std::string_view(upload, std::exchange(*upload_size, 0)));
     }
     return server.answer(exchange, connection);
   }
 
   std::shared_ptr<Exchange> beginRequest(MHD_Connection* connection, const char* url, const char* method,
                                          const char* version) {
-    const bool chunked_answers = std::string_view(version) != MHD_HTTP_VERSION_1_0;
-    auto exchange = std::make_shared<Exchange>(*this, connection, chunked_answers);
+    const bool chunked_responses = std::string_view(version) != MHD_HTTP_VERSION_1_0;
+    auto exchange = std::make_shared<Exchange>(*this, connection, chunked_responses);
     exchange->request.method = method;
     exchange->request.path = url;
     MHD_get_connection_values(connection, MHD_HEADER_KIND, &appendHeader, &exchange->request.headers);
@@ -282,8 +284,8 @@
     return exchange;
   }
 
-  /// Refuses a body that is announced as too large before it is read: if the peer waits for leave to send it,
-  /// or if it is larger than what would be discarded.
+  /// Rejects a body whose Content-Length exceeds the limit before it is read, if the peer waits for 100
+  /// Continue or if the body is larger than the server would discard.
   MHD_Result checkAnnouncedBody(Exchange& exchange) {
     const auto length = findHeader(exchange.request.headers, MHD_HTTP_HEADER_CONTENT_LENGTH);
     const std::uint64_t announced = length ? std::strtoull(length->c_str(), nullptr, 10) : 0;
@@ -291,16 +293,16 @@
       return MHD_YES;
     }
     exchange.body_too_large = true;
-    const bool waits = findHeader(exchange.request.headers, MHD_HTTP_HEADER_EXPECT).has_value();
-    if (!waits && announced <= kMaximumDiscardedBytes) {
+    const bool expects_continue = findHeader(exchange.request.headers, MHD_HTTP_HEADER_EXPECT).has_value();
+    if (!expects_continue && announced <= kMaxDiscardedBytes) {
       return MHD_YES;
     }
     exchange.beginAnswering();
-    refuseBody(exchange);
+    rejectBody(exchange);
     return exchange.continueConnection();
   }
 
-  MHD_Result takeBody(Exchange& exchange, std::string_view bytes) {
+  MHD_Result appendBody(Exchange& exchange, std::string_view bytes) {
     std::string& body = exchange.request.body;
     if (!exchange.body_too_large && body.size() + bytes.size() <= settings_.max_body_bytes) {
       body.append(bytes);
@@ -309,13 +311,13 @@
     exchange.body_too_large = true;
     body = std::string();
     exchange.discarded_bytes += bytes.size();
-    return exchange.discarded_bytes <= kMaximumDiscardedBytes ? MHD_YES : MHD_NO;
+    return exchange.discarded_bytes <= kMaxDiscardedBytes ? MHD_YES : MHD_NO;
   }
 
   MHD_Result answer(Exchange& exchange, MHD_Connection* connection) {
     exchange.beginAnswering();
     if (exchange.body_too_large) {
-      refuseBody(exchange);
+      rejectBody(exchange);
       return exchange.continueConnection();
     }
     const bool peer_closed = stateOf(connection).peer_closed;
@@ -337,7 +339,7 @@
     }
   }
 
-  void refuseBody(Exchange& exchange) {
+  void rejectBody(Exchange& exchange) {
     const std::string limit = "The limit is " + std::to_string(settings_.max_body_bytes) + " bytes";
     exchange.respond(resultCodeInfo(ResultCode::BodyTooLarge).http_status, refusalHeaders(),
                      refusalBody(ResultCode::BodyTooLarge, limit));
@@ -358,7 +360,7 @@
     const std::unique_ptr<std::shared_ptr<Exchange>> exchange(
         static_cast<std::shared_ptr<Exchange>*>(std::exchange(*context, nullptr)));
     if (exchange) {
-      (*exchange)->connectionDone(code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+      (*exchange)->requestEnded(code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
       static_cast<MicrohttpdServer*>(self)->exchanges_.erase(*exchange);
     }
   }
@@ -375,11 +377,11 @@
   TimePoint armed_until_{};
   bool run_scheduled_ = false;
   bool closing_ = false;
-  bool close_after_answers_ = false;
-  std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  ///< false for callbacks that outlive the server
+  bool close_after_responses_ = false;
+  /// Set to false on destruction, for posted callbacks that outlive the server.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unordered_set<std::shared_ptr<Exchange>> exchanges_;
-  std::unordered_set<const Connection*> connections_;  ///< open ones; owned by libmicrohttpd
+  std::unordered_set<const Connection*> connections_;  ///< open connections; owned by libmicrohttpd
 };
 
 }  // namespace
--- a/src/process/shared_settings.cc
+++ b/src/process/shared_settings.cc
@@ -11,7 +11,7 @@
 namespace ferryrock::process {
 namespace {
 
-/// True for a CURVE key in Z85: 8 groups of 5 digits to the base 85, each worth less than 2^32.
+/// Returns true for a Z85-encoded CURVE key: 8 groups of 5 base-85 digits, each with a value below 2^32.
 bool isKey(std::string_view text) {
   constexpr std::string_view kDigits =
       "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ.-:+=^!/*?&<>()[]{}@%$#";
@@ -73,7 +73,7 @@
   std::string key = readTextFile(keys.secret_key_file);
   if (!isKey(key)) {
     throw Error(ResultCode::SettingOutOfRange,
-                "the file doesn't hold a secret key that 'ferryrock keys generate' wrote",
+                "the file doesn't contain a secret key written by 'ferryrock keys generate'",
                 keys.secret_key_file);
   }
   return key;
@@ -97,13 +97,13 @@
 http::ServerSettings listenSettings(const std::string& address, const TlsSettings& tls,
                                     std::size_t max_body_bytes) {
   const HostAndPort parsed = parseAddress(address);
-  http::ServerSettings wanted;
-  wanted.address = parsed.host;
-  wanted.port = parsed.port;
-  wanted.max_body_bytes = max_body_bytes;
-  wanted.tls_certificate_file = tls.certificate_file;
-  wanted.tls_key_file = tls.key_file;
-  return wanted;
+  http::ServerSettings settings;
+  settings.address = parsed.host;
+  settings.port = parsed.port;
+  settings.max_body_bytes = max_body_bytes;
+  settings.tls_certificate_file = tls.certificate_file;
+  settings.tls_key_file = tls.key_file;
+  return settings;
 }
 
 std::string readTextFile(const std::string& file) {
