--- a/src/placement/demand_table.cc
+++ b/src/placement/demand_table.cc
@@ -3,14 +3,15 @@
 namespace ferryrock::placement {
 namespace {
 
-/// A row that no report renewed for this long is dropped. Routers report a name whenever its figures change.
+/// A row that no report renews for this long is dropped. Routers report a name whenever its demand changes.
 constexpr Duration kRowLifetime = std::chrono::minutes(10);
-/// A renewed row keeps its expiry while it has at least this much of its lifetime left.
+/// A renewed row keeps its expiry while at least this much of its lifetime remains.
 constexpr Duration kFreshLifetime = std::chrono::minutes(9);
-/// After the deadline of the most urgent request plus this, none of the waiting requests of the row can be
-/// left that the row was about; later ones would have renewed it.
+/// A row with waiting requests only expires this long after its earliest deadline: the reported requests have
+/// ended by then, and later requests would have renewed the row.
 constexpr Duration kDeadlineGrace = std::chrono::minutes(2);
-/// A report whose number is this far below the last one is from a restarted router, not a late one.
+/// A sequence number at least this far below the last one indicates a restarted router, not a reordered
+/// report.
 constexpr std::uint64_t kReorderWindow = 16;
 
 bool wasOvertaken(std::uint64_t sequence, std::uint64_t last) {
@@ -169,7 +170,8 @@
   }
 }
 
-/// The common case: requests run and none waits, before as now. Only the running ones are counted anew.
+/// Fast path for the common case: requests run and none waits, both before and after the report. Updates only
+/// the number of running requests.
 bool DemandTable::renewRow(const NodeName& router, const wire::ModelDemand& demand, const ModelName& base,
                            TimePoint now) {
   const auto owner = routers_.find(router);
--- a/src/placement/demand_table.h
+++ b/src/placement/demand_table.h
@@ -11,34 +11,37 @@
 
 namespace ferryrock::placement {
 
-/// Demand of all routers, merged by name and by base model. Memory is bounded by the names that have requests
-/// now. Costs: O(log n) for each row of a report; forgetting a router is O(its rows).
+/// Demand reported by all routers, aggregated by model name and by base model. Memory is bounded by the
+/// number of names with current requests. Costs: O(log n) for each row of a report; removing a router is
+/// O(its rows).
 class DemandTable {
  public:
-  /// Gives the base model of a name; nullopt: the name isn't in the tree and its demand is ignored.
+  /// Returns the base model of a name; nullopt if the settings tree does not contain the name, in which case
+  /// its demand is ignored.
   using BaseLookup = std::function<std::optional<ModelName>(const ModelName&)>;
 
   explicit DemandTable(BaseLookup base_of) : base_of_(std::move(base_of)) {}
 
-  /// A name whose figures changed, or that was used.
+  /// A name whose demand changed or that received requests.
   struct Change {
     ModelName name;
     ModelName base;
-    bool used = false;  ///< requests arrived, wait or run
+    bool used = false;  ///< requests arrived, are waiting or are running
   };
 
-  /// Takes a report in; reports that were overtaken by a later one are dropped.
+  /// Applies a report; a report that arrives after a later one of the same router is dropped.
   std::vector<Change> apply(const wire::DemandReport& report, TimePoint now);
   std::vector<Change> removeRouter(const NodeName& router);
-  /// Drops rows that weren't renewed for long, so that a lost report can't hold a model for ever.
+  /// Drops rows that have not been renewed within their lifetime, so that a lost report cannot keep a model
+  /// loaded indefinitely.
   std::vector<Change> expire(TimePoint now);
   std::optional<TimePoint> nextExpiry() const;
-  /// Looks the base model of a name up again.
+  /// Resolves the base model of a name again and moves its rows there.
   std::vector<Change> regroup(const ModelName& name);
 
   DemandFigures ofBase(const ModelName& base) const { return figures(by_base_, base); }
   DemandFigures ofName(const ModelName& name) const { return figures(by_name_, name); }
-  /// Names of a base model that have requests now.
+  /// Names of a base model with waiting or running requests.
   std::vector<ModelName> namesOf(const ModelName& base) const;
 
  private:
--- a/src/placement/engine_index.cc
+++ b/src/placement/engine_index.cc
@@ -5,9 +5,9 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Engines looked at from each end of a zone's order.
+/// Engines examined at each end of a zone's order by free memory.
 constexpr std::size_t kProbesPerEnd = 3;
-/// Holders of a checkpoint looked at.
+/// Holders of a checkpoint examined in each tier.
 constexpr std::size_t kHolderProbes = 16;
 
 std::vector<std::uint64_t> fallingOrder(std::vector<std::uint64_t> free_bytes) {
--- a/src/placement/gap_history.cc
+++ b/src/placement/gap_history.cc
@@ -15,9 +15,10 @@
 constexpr double kShortestGapSeconds = 1;
 constexpr double kLongestGapSeconds = 7 * 24 * 3600;
 constexpr std::int64_t kSecondsPerDay = 24LL * 3600;
-/// The histogram is halved when it holds more gaps than this.
+/// All counts are halved when the total exceeds this, so that old gaps decay.
 constexpr double kFadeAbove = 400;
-/// Weight, in gaps, of the whole day against a part of the day, and of the prior against the model.
+/// Smoothing weights in numbers of gaps: of the whole day against a part of the day, and of the prior against
+/// the model.
 constexpr double kPooledWeight = 6;
 constexpr double kPriorWeight = 3;
 
--- a/src/placement/gap_history.h
+++ b/src/placement/gap_history.h
@@ -7,19 +7,19 @@
 
 namespace ferryrock::placement {
 
-/// Probability of the length of an idle gap, by bins of growing length.
+/// One bin of the distribution of idle-gap lengths; bins are logarithmically spaced.
 struct GapBin {
   double low_seconds = 0;
   double high_seconds = 0;
   double probability = 0;
-  /// Length that stands for the bin.
+  /// Representative length of the bin: its geometric mean, or half of its upper edge if it begins at 0.
   double middleSeconds() const;
 };
 using GapDistribution = std::vector<GapBin>;
 
-/// Idle gaps of one model: one histogram for each part of the day in which a gap began. Old gaps fade, so
-/// that the history follows a change of habit. Bounded: under 1 KB. Adding a gap is O(1) on average, a
-/// distribution O(bins).
+/// Histograms of one model's idle gaps, one for each part of the day in which a gap begins. Old gaps decay,
+/// so that the history follows changes in usage. Memory is under 1 KB. Adding a gap is O(1) on average,
+/// computing a distribution O(bins).
 class GapHistory {
  public:
   GapHistory();
@@ -28,12 +28,12 @@
   GapHistory& operator=(GapHistory&&) noexcept;
 
   void add(Duration gap, TimePoint began);
-  /// Gaps that count now; at most a few hundred, as old ones fade.
+  /// Decayed number of gaps; at most a few hundred.
   double count() const;
-  /// Distribution of a gap that begins at this time of the day. The model's whole history stands in for a
-  /// part of the day with few gaps, and prior for a model with few.
+  /// Distribution of a gap that begins at this time of the day. Parts of the day with few gaps are smoothed
+  /// towards the model's whole history, and models with few gaps towards prior.
   GapDistribution distribution(TimePoint began, const GapDistribution& prior) const;
-  /// Distribution over the whole day; empty history: uniform over the bins.
+  /// Distribution over the whole day; uniform over the bins if the history is empty.
   GapDistribution pooled() const;
 
  private:
--- a/src/placement/keep_alive_policy.cc
+++ b/src/placement/keep_alive_policy.cc
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr double kLongestWeight = 0.9999;
-/// Horizon over which the worth of an idle replica is looked at.
+/// Time ahead within which an expected use counts towards the retention value of an idle replica.
 constexpr double kWorthHorizonSeconds = 3600;
-/// A prewarmed replica is asked for this much earlier than it takes to load.
+/// A prewarm begins this many expected load durations before the expected use.
 constexpr double kPrewarmMargin = 1.5;
-/// Share of an accelerator below which a replica doesn't get cheaper to keep.
+/// Lower bound on the accelerator share by which prices are divided.
 constexpr double kLeastShare = 0.01;
 
-/// Sums over a distribution up to each bin's upper edge.
+/// Cumulative sums of a distribution up to each bin's upper edge.
 struct Cumulative {
   std::vector<double> probability;  ///< of a gap below the edge
   std::vector<double> length;       ///< probability times length, below the edge
@@ -29,12 +29,13 @@
   return sums;
 }
 
-/// Edge n is the upper edge of bin n - 1; edge 0 is the beginning of the gap.
+/// Returns edge n, the upper edge of bin n - 1; edge 0 is the beginning of the gap.
 double edge(const GapDistribution& bins, std::size_t index) {
   return index == 0 ? 0 : bins[index - 1].high_seconds;
 }
 
-/// Chooses edges of the distribution for the three times of a decision.
+/// Searches the bin edges for the cheapest combination of a decision's keep-alive end, prewarm begin and
+/// prewarm end.
 class KeepAliveSearch {
  public:
   KeepAliveSearch(const GapDistribution& bins, const IdleModel& model)
@@ -62,7 +63,8 @@
  private:
   double survival(std::size_t index) const { return std::max(0.0, 1 - sums_.probability[index]); }
 
-  /// Expected idle accelerator seconds of a replica held from an edge (less the lead) to a later edge.
+  /// Expected idle accelerator seconds of a replica that is held from the lead time before one edge until a
+  /// later edge.
   double keptCost(std::size_t from, double lead, std::size_t until) const {
     const double begin = edge(bins_, from);
     const double ended = (sums_.length[until] - sums_.length[from]) -
--- a/src/placement/keep_alive_policy.h
+++ b/src/placement/keep_alive_policy.h
@@ -9,18 +9,18 @@
 
 namespace ferryrock::placement {
 
-/// Accelerator seconds that the operator would spend idle to spare one cold start of this model. At the
-/// weight 0.5 a second of a cold start of kTailSeconds is worth kIdleSecondsPerColdSecond accelerator
-/// seconds; the odds weight / (1 - weight) scale that. Seconds of longer cold starts are worth more and of
-/// shorter ones less, in proportion, as the tail is what callers feel.
+/// Price of one cold start of this model in idle accelerator seconds. At cold_start_weight 0.5, one second of
+/// a cold start that takes kTailSeconds costs kIdleSecondsPerColdSecond accelerator seconds; the odds weight
+/// / (1 - weight) scale the price. The price per second is proportional to the length of the cold start,
+/// because tail latency matters most to callers.
 double coldStartPrice(const IdleModel& model);
 inline constexpr double kTailSeconds = 4;
 inline constexpr double kIdleSecondsPerColdSecond = 100;
 
-/// Learned from each model's own gaps: keeps, gives back, or gives back and loads again early, whichever has
-/// the lowest expected sum of idle accelerator seconds and priced cold starts. Memory is bounded by
-/// max_models histograms, of which the longest unused is forgotten. A decision costs O(bins^3), at most about
-/// 6,000 steps.
+/// Learns from the idle gaps of each model. Chooses between keeping the replica, releasing it, and releasing
+/// and prewarming it by the lowest expected sum of idle accelerator seconds and cold-start prices. Memory is
+/// bounded by max_models histograms with least-recently-used eviction. A decision costs O(bins^3), at most
+/// about 6,000 steps.
 class LearnedKeepAlive : public KeepAlivePolicy {
  public:
   explicit LearnedKeepAlive(std::size_t max_models = 4096);
@@ -40,10 +40,10 @@
   std::size_t max_models_;
   GapHistory all_models_;
   std::map<ModelName, Entry> histories_;
-  std::list<ModelName> recency_;  ///< longest unused first
+  std::list<ModelName> recency_;  ///< least recently used first
 };
 
-/// Baseline: the same time for every model.
+/// Baseline: the same keep-alive time for every model.
 class FixedKeepAlive : public KeepAlivePolicy {
  public:
   explicit FixedKeepAlive(Duration keep) : keep_(keep) {}
@@ -56,7 +56,7 @@
   Duration keep_;
 };
 
-/// Baseline: every model stays loaded as far as memory goes.
+/// Baseline: every model stays loaded as long as memory suffices.
 class AlwaysLoaded : public FixedKeepAlive {
  public:
   AlwaysLoaded();
--- a/src/placement/ledger.cc
+++ b/src/placement/ledger.cc
@@ -8,7 +8,8 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Removed engines that are remembered for the case that the platform's list was wrong about them.
+/// Removed engines that are retained in case the platform's machine list omitted a machine that is still
+/// running.
 constexpr std::size_t kMaxRemovedEngines = 1024;
 
 wire::CommandResult success() {
--- a/src/placement/ledger.h
+++ b/src/placement/ledger.h
@@ -11,10 +11,10 @@
 #include "common/identifiers.h"
 #include "wire/commands.h"
 
-/// Which replica holds which accelerator memory. Replicated state, logic only.
+/// Assignment of accelerator memory to replicas. Replicated state machine without I/O.
 namespace ferryrock::placement {
 
-/// An engine as it last registered.
+/// The last registration of an engine.
 struct EngineRecord {
   EngineName name;
   Incarnation incarnation;
@@ -28,13 +28,13 @@
                    draining)
 };
 
-/// Limits of a model that apply() checks; supplied from the catalog.
+/// Limits of a model that apply() enforces; the caller reads them from the catalog.
 struct ModelLimits {
   std::uint32_t max_replicas = 0;
 };
 
-/// Checks of apply(). All are on in the product; the sweep's tests switch single ones off to show that the
-/// sweep notices what they prevent.
+/// Checks of apply(). All are enabled in production; fault-injection tests disable single checks to verify
+/// that the tests detect the violations that each check prevents.
 struct LedgerChecks {
   bool memory = true;
   bool replica_limit = true;
@@ -42,11 +42,13 @@
   bool free_proof = true;
 };
 
-/// The slot ledger. apply() refuses what would overcommit an accelerator, exceed a model's maximum, or free a
-/// slot without proof; so no planner, old leader or race can. Deterministic.
+/// The slot ledger. apply() rejects commands that would overcommit an accelerator, exceed a model's replica
+/// limit, or free a slot without proof, so that no planner, former leader or race can violate these
+/// invariants. Deterministic.
 ///
-/// A freed slot leaves the ledger, so memory is bounded by what engines hold; a number below the next one
-/// that the ledger doesn't know has been freed. Repeated commands get the outcome of the first.
+/// A freed slot is removed from the ledger, so memory is bounded by the slots that engines hold; an absent
+/// slot whose id is below the next id to assign has been freed. Except for
+/// DecideSlot, immediately repeating a successful command succeeds again without further effect.
 ///
 /// Costs: deciding, changing or freeing a slot is O(log slots + accelerators of the engine + slots of the
 /// engine and of the model). Registering an engine or removing a machine is O(its slots).
@@ -54,21 +56,22 @@
  public:
   explicit Ledger(LedgerChecks checks = {}) : checks_(checks) {}
 
-  /// A higher incarnation frees the slots of lower ones. An engine whose machine was removed and that returns
-  /// with the same incarnation was alive after all: what it held is taken up again as Unloading.
+  /// A higher incarnation frees the slots of lower ones. If the machine of an engine was removed and the
+  /// engine registers again with the same incarnation, it was still running: its slots are restored as
+  /// Unloading.
   wire::CommandResult apply(const wire::RegisterEngineCommand& command);
   wire::CommandResult apply(const wire::RemoveMachineCommand& command);
-  /// Counts every slot of the model that isn't freed against the maximum, whatever its version or state.
+  /// Every slot of the model that is not freed counts against the maximum, regardless of version and state.
   wire::CommandResult apply(const wire::DecideSlotCommand& command, const ModelLimits& limits);
   wire::CommandResult apply(const wire::DecideAdapterCommand& command);
-  /// States only move forward. Freed needs UnloadAcknowledged by the slot's incarnation after Unloading, or
-  /// news from a higher incarnation.
+  /// States only move forward. Freed requires UnloadAcknowledged by the slot's incarnation in state
+  /// Unloading, or proof that a higher incarnation of the engine has started.
   wire::CommandResult apply(const wire::SlotStateCommand& command);
   wire::CommandResult apply(const wire::DrainEngineCommand& command);
 
   const std::map<SlotId, wire::Slot>& slots() const { return slots_; }
   const std::map<EngineName, EngineRecord>& engines() const { return engines_; }
-  /// nullptr: never decided, or freed.
+  /// Returns nullptr if the slot was never decided or has been freed.
   const wire::Slot* findSlot(SlotId id) const;
   const EngineRecord* findEngine(const EngineName& name) const;
   /// Slots of a base model that are not freed.
@@ -76,16 +79,17 @@
   std::vector<SlotId> slotsOn(const EngineName& engine) const;
   /// Bytes held on each accelerator of an engine by slots that are not freed.
   std::vector<std::uint64_t> heldBytes(const EngineName& engine) const;
-  /// Bytes on each accelerator that an adapter takes on a slot; 0 if it wasn't decided there.
+  /// Bytes that an adapter occupies on each accelerator of a slot; 0 if the adapter is not assigned to the
+  /// slot.
   std::uint64_t adapterBytes(SlotId slot, const ModelName& adapter) const;
   std::uint64_t largestAcceleratorBytes() const;
 
   std::string serialize() const;
-  /// Throws Error MalformedMessage; the ledger is unchanged then.
+  /// Throws Error MalformedMessage if the bytes are invalid; the ledger then stays unchanged.
   void restore(std::string_view bytes);
 
  private:
-  /// What an engine held when its machine was removed from the ledger.
+  /// Slots that an engine held when its machine was removed from the ledger.
   struct RemovedEngine {
     EngineName name;
     Incarnation incarnation;
--- a/src/placement/load_policies.cc
+++ b/src/placement/load_policies.cc
@@ -8,14 +8,14 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Seconds of load time that sharing a zone or a machine with a replica of the same model counts as.
+/// Cost in seconds of load time of sharing a zone or a machine with a replica of the same model.
 constexpr double kSharedZoneSeconds = 2;
 constexpr double kSharedMachineSeconds = 4;
-/// Seconds of load time that an otherwise empty accelerator counts as.
+/// Cost in seconds of load time of leaving an accelerator completely free beside the replica.
 constexpr double kEmptyAcceleratorSeconds = 0.5;
-/// Scale of urgency in load times: slack of this many loads makes a load e times less urgent.
+/// Urgency scale in load durations: a slack of this many load durations divides the urgency by e.
 constexpr double kUrgencyScale = 3;
-/// Distance between the classes of reasons; larger than any cost.
+/// Rank distance between two load reasons; larger than any cost.
 constexpr double kClassDistance = 1e12;
 constexpr double kLateClass = 10;
 
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -16,10 +16,10 @@
 
 namespace ferryrock::placement {
 
-/// Where a checkpoint lies, from fastest to slowest to load.
+/// Location of a checkpoint, ordered from the fastest to the slowest to load.
 enum class CheckpointTier : std::uint8_t { Memory = 0, Disk = 1, Peer = 2, Remote = 3 };
 
-/// What one engine reported last; arrives late. Owned by the leader, not replicated.
+/// The last report of an engine, possibly stale. Held by the leader, not replicated.
 struct EngineReport {
   EngineName engine;
   Incarnation incarnation;
@@ -29,7 +29,7 @@
   std::vector<ModelName> on_disk;
 };
 
-/// How a load ended, for learning the weight store's rate and width.
+/// Outcome of a load, from which the weight store's rate and width are estimated.
 struct LoadObservation {
   SlotId slot;
   EngineName engine;
@@ -40,12 +40,12 @@
   bool succeeded = true;
 };
 
-/// What the planner wants done: a command to commit first; orders follow from the committed slot states.
+/// A command to propose for commit; orders to engines follow from the committed slot states.
 struct ProposeEffect {
   wire::Command command;
 };
 
-/// A prefetch order that holds no accelerator memory and so needs no slot.
+/// A prefetch order. It needs no slot, because it occupies no accelerator memory.
 struct PrefetchEffect {
   EngineName engine;
   ModelName model;
@@ -53,8 +53,9 @@
   CheckpointTier to = CheckpointTier::Disk;
 };
 
-/// Order the engine to unload an adapter; its bytes stay held until the engine acknowledged that and a
-/// DecideAdapterCommand with remove was committed. Repeated until then.
+/// Orders the engine to unload an adapter. The adapter's bytes stay held until the engine acknowledges the
+/// unload and a DecideAdapterCommand with remove is committed; the planner repeats the order while the room
+/// is needed.
 struct UnloadAdapterEffect {
   SlotId slot;
   ModelName adapter;
@@ -66,7 +67,7 @@
 /// Resolves names against the catalog in force.
 using ModelLookup = std::function<std::optional<wire::ResolvedModel>(const ModelName&)>;
 
-/// Why a model has the replicas it has; shown by `ferryrock explain`.
+/// Explanation of the current replicas of a model; shown by `ferryrock explain`.
 struct Explanation {
   ModelName model;
   std::uint32_t wanted = 0;
@@ -74,17 +75,16 @@
   std::vector<std::string> reasons;  ///< one sentence each
 };
 
-/// Decides replicas, places them, orders loads and gives accelerators back.
+/// Decides the number of replicas, places them, orders loads and releases accelerators.
 ///
-/// The planner proposes DecideSlot, DecideAdapter, and the slot states Draining (a replica is given back) and
-/// Unloading (a load failed). Everything that an engine's report proves is proposed by control:
-/// RegisterEngine, RemoveMachine, Loading, Ready, Unloading once a draining slot runs nothing, Freed, and the
-/// removal of an adapter. A load begins as soon as its slot is decided, so the planner keeps the weight
-/// store's rate and width by deciding no earlier.
+/// The planner proposes DecideSlot, DecideAdapter, and the slot states Draining (a replica is released) and
+/// Unloading (a load failed). The control service proposes all transitions that engine reports prove:
+/// RegisterEngine, RemoveMachine, Loading, Ready, Unloading once a draining slot runs no request, Freed, and
+/// the removal of an adapter. A load begins as soon as its slot is decided, so the planner delays decisions
+/// to stay within the weight store's rate and width.
 ///
-/// Runs on the leader only; its state is
-/// rebuilt from the ledger and from reports after a change of leader. No step walks all models or all
-/// adapters per message. Used by one thread.
+/// Runs on the leader only; after a change of leader its state is rebuilt from the ledger and from reports.
+/// No message causes a walk over all models or all adapters. Not thread-safe.
 class Planner {
  public:
   virtual ~Planner() = default;
@@ -94,25 +94,25 @@
   virtual void onEngineUnreachable(const EngineName& engine, TimePoint now) = 0;
   virtual void onMachineLeaving(const MachineName& machine, std::optional<Duration> left, TimePoint now) = 0;
   virtual void onLoadObserved(const LoadObservation& observation, TimePoint now) = 0;
-  /// The ledger's slot changed (a committed command was applied).
+  /// Call after a committed command changed the slot in the ledger.
   virtual void onSlotChanged(SlotId slot, TimePoint now) = 0;
-  /// Call with every addressable name after creation, later with the changed ones; minimum replicas and
-  /// version changes are seen by this alone.
+  /// Call with every addressable name after creation, and later with the changed names. The planner learns of
+  /// minimum replicas and version changes by this call only.
   virtual void onSettingsChanged(const std::vector<ModelName>& models, TimePoint now) = 0;
-  /// The ledger's engine was registered, removed, or its drain changed.
+  /// Call after the engine was registered or removed in the ledger, or its draining flag changed.
   virtual void onEngineChanged(const EngineName& engine, TimePoint now) = 0;
-  /// A proposed command was refused when it was applied, or is known not to have been committed. Proposals of
-  /// which nothing is heard are given up after some seconds.
+  /// Call when a proposed command was rejected on application or is known not to have been committed.
+  /// Proposals without an outcome expire after kProposalLifetime.
   virtual void onProposalRefused(const wire::Command& command, TimePoint now) = 0;
-  /// Decides; call at nextDeadline() and after any of the above.
+  /// Returns the effects to carry out; call at nextDeadline() and after any of the above.
   virtual PlannerEffects plan(TimePoint now) = 0;
   virtual TimePoint nextDeadline() const = 0;
-  /// Expected time until a replica of the name serves; nullopt: it can't be loaded now.
+  /// Expected time until a replica can serve the name; nullopt if it cannot be loaded now.
   virtual std::optional<Duration> expectedLoad(const ModelName& name, TimePoint now) const = 0;
   virtual Explanation explain(const ModelName& name, TimePoint now) const = 0;
 };
 
-/// The planner with the product's policies. The ledger must outlive it.
+/// Creates a planner with the default policies. The ledger must outlive it.
 std::unique_ptr<Planner> createPlanner(const Ledger& ledger, ModelLookup lookup, TimePoint now);
 
 }  // namespace ferryrock::placement
--- a/src/placement/planner_adapters.cc
+++ b/src/placement/planner_adapters.cc
@@ -5,7 +5,7 @@
 namespace ferryrock::placement {
 namespace {
 
-/// An order to unload an adapter is repeated after this long without an acknowledgement.
+/// Interval at which an unacknowledged order to unload an adapter is repeated.
 constexpr Duration kUnloadRepeat = std::chrono::seconds(1);
 
 bool holds(const wire::Slot& slot, const ModelName& adapter) {
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -6,12 +6,11 @@
 namespace ferryrock::placement {
 namespace {
 
-/// The rest of a load that should have ended already is estimated as this share of the time that it took so
-/// far.
+/// The remaining time of an overdue load is estimated as its elapsed time divided by this.
 constexpr int kOverdueShare = 4;
-/// A replica that is given up leaves its place after about this.
+/// Expected time until a released replica has freed its memory.
 constexpr Duration kUnload = std::chrono::seconds(1);
-/// Without figures an adapter is expected to be loaded after this.
+/// Expected load time of an adapter; no estimate is kept for adapters.
 constexpr Duration kAdapterLoad = std::chrono::milliseconds(500);
 
 std::string inSeconds(Duration duration) {
--- a/src/placement/planner_impl.cc
+++ b/src/placement/planner_impl.cc
@@ -5,18 +5,18 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Resolved settings that are kept; all are dropped when there are more.
+/// Maximum number of cached resolved settings; the cache is cleared when it is full.
 constexpr std::size_t kMaxCachedSettings = 65'536;
-/// A model that requests asked for in vain is loaded for those to come during this time.
+/// Time for which requests that found no ready replica keep the model in demand, for requests that follow.
 constexpr Duration kInterest = std::chrono::seconds(60);
 constexpr Duration kFirstRetry = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxRetryDoublings = 6;
-/// Loads over which the usual time of a model's loads is averaged.
+/// Window, in loads, of the moving average of a model's load duration.
 constexpr int kUsualLoads = 4;
-/// Failed loads of a new version after which it is rolled back.
+/// Number of failed loads after which a new version is rolled back.
 constexpr std::uint32_t kFailuresToRollBack = 2;
 
-/// Erases the entries of one slot, without a look at others.
+/// Erases the entries of one slot without visiting those of other slots.
 template <class Value>
 void eraseSlot(std::map<std::pair<SlotId, ModelName>, Value>& entries, SlotId slot) {
   const auto begin = entries.lower_bound({slot, ModelName{}});
--- a/src/placement/planner_impl.h
+++ b/src/placement/planner_impl.h
@@ -16,15 +16,16 @@
 
 namespace ferryrock::placement {
 
-/// The planner. Events mark base models as dirty; plan() reconciles the dirty ones (replicas wanted against
-/// replicas held) and begins queued loads as the weight store and memory allow.
+/// Implementation of the planner. Events mark base models as dirty; plan() reconciles the actual with the
+/// target replicas of dirty models and begins queued loads as the weight store and memory allow.
 ///
-/// Costs, with R replicas of the model at hand, A of its adapters in demand, Q loads waiting: an event is
+/// Costs, with R replicas of the model, A of its adapters in demand and Q queued loads: an event is
 /// O(log n); reconciling a model O(R log n + A R); beginning loads O(Q) comparisons and a placement of
 /// O(zones log engines) for each load that may begin.
 ///
-/// planner_impl.cc takes events in, planner_reconcile.cc compares, planner_loads.cc begins loads,
-/// planner_adapters.cc places adapters, planner_explain.cc answers questions.
+/// planner_impl.cc handles events, planner_reconcile.cc reconciles replicas with their targets,
+/// planner_loads.cc begins loads, planner_adapters.cc places adapters, planner_explain.cc implements the
+/// queries.
 class PlannerImpl : public Planner {
  public:
   PlannerImpl(const Ledger& ledger, ModelLookup lookup, PlannerPolicies policies, TimePoint now);
@@ -45,7 +46,7 @@
   Explanation explain(const ModelName& name, TimePoint now) const override;
 
  private:
-  /// A load that could begin now.
+  /// Where a load can begin now.
   struct Placement {
     EngineName engine;
     std::vector<std::uint32_t> accelerators;
@@ -107,7 +108,7 @@
   bool isRoomBeingMade(const ModelState& state, TimePoint now) const;
   void propose(const ModelState& state, const Placement& placement, TimePoint now);
   void prefetch(TimePoint now);
-  /// The engine of a freed slot keeps the checkpoint as the most recently used one.
+  /// Orders the engine of a freed slot to keep the checkpoint in host memory, as the most recently used one.
   void keepInMemory(const wire::Slot& freed);
 
   // planner_adapters.cc
@@ -133,18 +134,18 @@
   std::map<ModelName, LoadCandidate> load_queue_;  ///< by base model
   std::set<ModelName> dirty_;
   TimerQueue<ModelName> checks_;
-  std::set<std::pair<double, SlotId>> evictable_;  ///< idle replicas by worth
+  std::set<std::pair<double, SlotId>> evictable_;  ///< idle replicas by retention value
   std::map<SlotId, double> evictable_worth_;
   std::map<std::pair<SlotId, ModelName>, TimePoint> adapter_last_use_;
-  std::map<std::pair<SlotId, ModelName>, TimePoint> adapter_unloads_;  ///< when ordered last
+  std::map<std::pair<SlotId, ModelName>, TimePoint> adapter_unloads_;  ///< time of the last unload order
   std::uint64_t memory_epoch_ = 1;
-  std::vector<ModelName> fresh_loads_;  ///< queued since loads were tried last
-  TimePoint queue_tried_at_;            ///< when every queued load was tried last
+  std::vector<ModelName> fresh_loads_;  ///< queued since the last call of beginLoads()
+  TimePoint queue_tried_at_;            ///< last time that every queued load was tried
   bool loads_due_ = false;
   ModelName prefetch_cursor_;
   TimePoint next_prefetch_;
-  TimePoint planned_at_;  ///< when plan() ran last
-  TimePoint now_;         ///< of the last event
+  TimePoint planned_at_;  ///< time of the last plan()
+  TimePoint now_;         ///< time of the last event
   PlannerEffects effects_;
 };
 
--- a/src/placement/planner_loads.cc
+++ b/src/placement/planner_loads.cc
@@ -7,16 +7,16 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Idle replicas looked at when room has to be made, least worth first.
+/// Maximum number of eviction candidates examined to make room, in ascending order of retention value.
 constexpr std::size_t kEvictionProbes = 64;
-/// Every queued load is tried again at least this often.
+/// Every queued load is retried at least at this interval.
 constexpr Duration kQueueCheck = std::chrono::seconds(1);
-/// Room that is being made is waited for this long before other replicas are given up.
+/// Time to wait for replicas that are being evicted before others are evicted instead.
 constexpr Duration kEvictionWait = std::chrono::seconds(30);
 constexpr Duration kPrefetchInterval = std::chrono::seconds(10);
 constexpr Duration kPrefetchAgain = std::chrono::minutes(30);
 constexpr std::size_t kPrefetchProbes = 8;
-/// A load that takes longer than expected by this factor shows that the store is slow before it ends.
+/// A running load that exceeds its expected duration by this factor indicates a slow weight store.
 constexpr double kOverdueFactor = 1.5;
 
 Duration scaled(Duration duration, double factor) {
--- a/src/placement/planner_reconcile.cc
+++ b/src/placement/planner_reconcile.cc
@@ -6,9 +6,9 @@
 namespace ferryrock::placement {
 namespace {
 
-/// A replica on a leaving machine is drained at the latest this long before the machine goes.
+/// A replica on a leaving machine is drained at the latest this long before the machine leaves.
 constexpr Duration kLastMoment = std::chrono::seconds(10);
-/// Adapters are looked at again this often while their place is being made.
+/// Interval at which adapters are reconsidered while room for them is being made.
 constexpr Duration kRetryCheck = std::chrono::milliseconds(250);
 
 bool hasRequests(const DemandFigures& demand) {
--- a/src/placement/policies.h
+++ b/src/placement/policies.h
@@ -7,11 +7,11 @@
 #include "common/time.h"
 #include "placement/planner.h"
 
-/// The planner's replaceable decisions. Each policy is handed figures and answers a cost, an order or a time;
-/// none sees the ledger, so none can break its rules.
+/// Replaceable policies of the planner. A policy computes a cost, an order or a time from its arguments; it
+/// has no access to the ledger and so cannot violate its invariants.
 namespace ferryrock::placement {
 
-/// An engine with room for a replica.
+/// An engine with enough free memory for a replica.
 struct EngineCandidate {
   EngineName engine;
   ZoneName zone;
@@ -19,18 +19,18 @@
   Duration expected_load{};
   std::uint32_t replicas_in_zone = 0;     ///< of the same model, not freed
   std::uint32_t replicas_on_machine = 0;  ///< of the same model, not freed
-  double free_share_after = 0;            ///< of the chosen accelerators' memory, with the replica on them
+  double free_share_after = 0;  ///< free share of the first chosen accelerator's memory with the replica
 };
 
-/// Chooses among engines with room. The candidate of the lowest cost wins.
+/// Ranks engines with enough free memory. The candidate with the lowest cost is chosen.
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
-  /// Cost in seconds of expected load time, or what is worth as much.
+  /// Cost in seconds of expected load time or their equivalent.
   virtual double cost(const EngineCandidate& candidate) const = 0;
 };
 
-/// Why a load waits; earlier reasons go first.
+/// Why a load is queued, in descending order of precedence.
 enum class LoadReason : std::uint8_t { Demand = 0, Minimum = 1, Rollout = 2, Prewarm = 3 };
 
 /// A load that waits for the weight store or for memory.
@@ -38,21 +38,21 @@
   ModelName name;  ///< base model or adapter
   LoadReason reason = LoadReason::Demand;
   TimePoint wanted_since{};
-  std::uint32_t waiting = 0;  ///< requests over all routers
+  std::uint32_t waiting = 0;  ///< waiting requests of all routers
   std::optional<TimePoint> earliest_deadline;
   Duration expected_load{};
   double cold_start_weight = 0.5;
   std::int32_t priority = 0;
 };
 
-/// Orders loads that wait for the weight store. The lowest rank goes first.
+/// Orders loads that wait for the weight store. The load with the lowest rank begins first.
 class LoadOrderPolicy {
  public:
   virtual ~LoadOrderPolicy() = default;
   virtual double rank(const LoadCandidate& candidate, TimePoint now) const = 0;
 };
 
-/// Merged demand of one base model.
+/// Aggregate demand for one name or base model.
 struct DemandFigures {
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
@@ -60,7 +60,7 @@
   std::optional<TimePoint> earliest_deadline;
 };
 
-/// Turns demand into a number of replicas, before minimum and maximum.
+/// Computes the number of replicas for a demand, before the minimum and maximum are applied.
 class ReplicaCountPolicy {
  public:
   virtual ~ReplicaCountPolicy() = default;
@@ -71,14 +71,14 @@
 struct IdleModel {
   ModelName model;
   double cold_start_weight = 0.5;
-  double accelerators = 1;   ///< of one replica, each by the share of its memory that is held
-  Duration expected_load{};  ///< if it were given back and wanted again
+  double accelerators = 1;   ///< of one replica, each weighted by the share of its memory that is held
+  Duration expected_load{};  ///< of the next load if the replica were released
   Duration shortest_keep{};  ///< the operator's bounds
   Duration longest_keep{};
   TimePoint idle_since{};
 };
 
-/// Loads a model again before it is expected to be used, and how long that replica is kept.
+/// Time span in which a replica is loaded and kept ahead of the expected next use.
 struct Prewarm {
   Duration begin{};  ///< after the model became idle
   Duration end{};    ///< after the model became idle
@@ -89,16 +89,17 @@
   std::optional<Prewarm> prewarm;
 };
 
-/// Decides how long an idle model stays loaded, and learns from the gaps between its uses.
+/// Decides how long an idle model stays loaded; learns from the idle gaps between its uses.
 class KeepAlivePolicy {
  public:
   virtual ~KeepAlivePolicy() = default;
-  /// An idle gap of a model ended with a use.
+  /// Records an idle gap that ended because the model was used.
   virtual void onGap(const ModelName& model, Duration gap, TimePoint idle_since) = 0;
   virtual KeepAliveDecision decide(const IdleModel& model) = 0;
-  /// How long replicas beyond the first stay after they were last needed.
+  /// How long replicas beyond the first are kept after they were last needed.
   virtual Duration surplusKeep(const IdleModel& model) const = 0;
-  /// Worth of keeping an idle replica for each accelerator it holds; the lowest is evicted first.
+  /// Retention value of an idle replica per accelerator that it holds; the replica with the lowest value is
+  /// evicted first.
   virtual double worth(const IdleModel& model, TimePoint now) = 0;
   /// Replicas that are kept without demand.
   virtual std::uint32_t minimumReplicas(const wire::ResolvedModel& settings) const {
@@ -106,13 +107,13 @@
   }
 };
 
-/// Faults put in on purpose, so that tests show that they would be noticed. None is set by the product.
+/// Defects that tests inject to verify that they are detected. Production sets none of them.
 struct PlannerDefects {
-  bool forget_pending = false;  ///< proposals on their way aren't counted as replicas
-  bool never_expire = false;    ///< proposals of which nothing is heard are waited for, for ever
+  bool forget_pending = false;  ///< proposals in flight are not counted as replicas
+  bool never_expire = false;    ///< proposals without an outcome never expire
 };
 
-/// Everything that can be replaced in a planner.
+/// The policies of one planner.
 struct PlannerPolicies {
   std::unique_ptr<PlacementPolicy> placement;
   std::unique_ptr<LoadOrderPolicy> load_order;
@@ -121,10 +122,10 @@
   PlannerDefects defects;
 };
 
-/// The product's policies.
+/// Policies used in production.
 PlannerPolicies defaultPolicies();
 
-/// A planner with chosen policies, for measurements. The ledger must outlive it.
+/// Creates a planner with the given policies, for experiments and tests. The ledger must outlive it.
 std::unique_ptr<Planner> createPlanner(const Ledger& ledger, ModelLookup lookup, PlannerPolicies policies,
                                        TimePoint now);
 
--- a/src/placement/proposal_table.h
+++ b/src/placement/proposal_table.h
@@ -10,28 +10,29 @@
 
 namespace ferryrock::placement {
 
-/// A DecideSlot that was proposed and isn't known to be committed or refused.
+/// A proposed DecideSlot that is not known to be committed or rejected.
 struct PendingSlot {
   wire::Slot slot;
   CheckpointTier tier = CheckpointTier::Remote;
   TimePoint expiry{};
 };
 
-/// Proposals in flight. None is made twice while the first is open; after kProposalLifetime without news one
-/// is given up, and the ledger's own checks catch a late commit.
+/// Lifetime of a proposal in flight. The same proposal is not repeated while it is open; without an outcome
+/// it expires after this time, and the ledger's own checks reject a late commit that would violate an
+/// invariant.
 inline constexpr Duration kProposalLifetime = std::chrono::seconds(5);
 
 class ProposalTable {
  public:
   void addSlot(PendingSlot pending);
-  /// Takes out the proposal that led to this slot, or was refused.
+  /// Removes and returns the proposal of this slot, which has been committed or rejected.
   std::optional<PendingSlot> takeSlot(const wire::Slot& slot);
   std::uint32_t slotsOf(const ModelName& model) const;
   std::uint32_t remoteSlots() const { return remote_slots_; }
   /// All open slot proposals of a model.
   std::vector<PendingSlot> openSlots(const ModelName& model) const;
 
-  /// False if the same is open already.
+  /// Returns false if a proposal of the same or a later state is already open.
   bool addState(SlotId slot, wire::SlotState state, TimePoint now);
   bool isEnding(SlotId slot) const { return states_.contains(slot); }
   void clearState(SlotId slot) { states_.erase(slot); }
@@ -40,10 +41,10 @@
   void clearAdapter(SlotId slot, const ModelName& adapter) { adapters_.erase({slot, adapter}); }
   bool hasAdapter(SlotId slot, const ModelName& adapter) const { return adapters_.contains({slot, adapter}); }
 
-  /// Gives up what has expired.
+  /// Proposals that expire() removed.
   struct Expired {
     std::vector<PendingSlot> decisions;
-    std::vector<SlotId> touched;  ///< slots whose state or adapters were to change
+    std::vector<SlotId> touched;  ///< slots with an expired change of state or adapters
   };
   Expired expire(TimePoint now);
   std::optional<TimePoint> nextExpiry() const;
@@ -54,7 +55,7 @@
     TimePoint expiry{};
   };
 
-  std::vector<PendingSlot> slots_;  ///< as many as loads begin within the lifetime: tens
+  std::vector<PendingSlot> slots_;  ///< as many as loads begin within kProposalLifetime: tens
   std::map<SlotId, PendingState> states_;
   std::map<std::pair<SlotId, ModelName>, TimePoint> adapters_;
   std::uint32_t remote_slots_ = 0;
--- a/src/placement/slot_table.h
+++ b/src/placement/slot_table.h
@@ -9,34 +9,34 @@
 
 namespace ferryrock::placement {
 
-/// A slot as the planner last saw it in the ledger.
+/// The planner's last copy of a ledger slot.
 struct SlotView {
   wire::Slot slot;
-  CheckpointTier tier = CheckpointTier::Remote;  ///< from which the load was expected to come
+  CheckpointTier tier = CheckpointTier::Remote;  ///< tier from which the load is expected
   TimePoint decided_at{};
 };
 
-/// What a look at the ledger's slot found.
+/// Difference between the ledger's slot and the planner's copy.
 struct SlotChange {
   enum class Kind { Nothing, Added, Changed, Freed };
   Kind kind = Kind::Nothing;
-  wire::Slot slot;  ///< after the change, or the last view of a freed slot
+  wire::Slot slot;  ///< after the change, or the last copy of a freed slot
   wire::SlotState before = wire::SlotState::Decided;
 };
 
-/// The planner's copy of the ledger's slots, by which changes are noticed. Costs O(log slots).
+/// The planner's copy of the ledger's slots, used to detect changes. Operations are O(log slots).
 class SlotTable {
  public:
   explicit SlotTable(const Ledger& ledger) : ledger_(ledger) {}
 
-  /// Compares the ledger's slot with the view and takes it over.
+  /// Updates the copy from the ledger and returns the difference.
   SlotChange refresh(SlotId id, TimePoint now);
-  /// Slots of an engine that are viewed or in the ledger.
+  /// Slots of an engine that are in the table or in the ledger.
   std::vector<SlotId> changedOn(const EngineName& engine) const;
   const SlotView* find(SlotId id) const;
   SlotView* find(SlotId id);
   std::vector<const SlotView*> of(const ModelName& model) const;
-  /// Slots that are decided or loading from the weight store.
+  /// Slots in state Decided or Loading whose checkpoint comes from the weight store.
   const std::set<SlotId>& remoteLoads() const { return remote_loads_; }
   void setTier(SlotId id, CheckpointTier tier);
 
--- a/src/placement/store_estimator.cc
+++ b/src/placement/store_estimator.cc
@@ -12,29 +12,31 @@
 constexpr double kInitialWidth = 8;
 constexpr double kLowestWidth = 1;
 constexpr double kHighestWidth = 500;
-/// Seconds for each byte before anything was observed: memory, disk, peer, weight store.
+/// Seconds per byte before the first observation: memory, disk, peer, weight store.
 constexpr std::array<double, 4> kInitialSecondsPerByte = {1 / 20e9, 1 / 6e9, 1 / 8e9, 1 / 4e9};
-/// What a load takes beside the transfer: allocation, warm-up.
+/// Time that a load takes in addition to the transfer, for allocation and warm-up.
 constexpr double kInitialFixedSeconds = 0.5;
 constexpr double kLearningShare = 0.2;
-/// Loads up to this much slower than expected count as full speed.
+/// Loads that take up to this multiple of the expected duration count as full speed.
 constexpr double kFullSpeedTolerance = 1.2;
 constexpr double kCrowdedSlowdown = 1.3;
 constexpr double kWidthProbe = 0.25;
 constexpr double kWidthCut = 0.97;
 constexpr double kRateProbe = 1.01;
 constexpr double kRateCut = 0.97;
-/// Seconds of work that the store is given before a load was timed, if its loads are short: 4 loads of 6 s,
-/// 40 of 0.6 s, or one of 16 s. A store of a single place would be done with any of these after this time;
-/// four loads of 16 s that share it would all end after 64 s, later than any caller waits.
+/// Total seconds of load time that may begin at once before a load has been timed: 4 loads of 6 s, 40 of 0.6
+/// s, or one of 16 s. A store of width 1 completes any of these within this time; four loads of 16 s that
+/// share it would all end after 64 s, beyond any caller's timeout.
 constexpr double kFirstLoadSeconds = 24;
-/// Width gained by each timed load that ended in time at the limit, until one was slowed by others: one place
-/// for loads that take so long, more for shorter ones, which lose less by one round too wide.
+/// Until a timed load is slowed down by others, each load that ends at full speed at the width limit raises
+/// the width: by 1 for loads of this duration, and by more for shorter loads, to which an excessive width
+/// costs less.
 constexpr double kProbeLoadSeconds = 6;
 constexpr double kWidestProbe = 8;
-/// A timed load cuts the width by no more than this at once: its replica may be slow for reasons of its own.
+/// A single timed load reduces the width at most to this share, because its replica may be slow for other
+/// reasons.
 constexpr double kDeepestCut = 0.6;
-/// The best speed fades towards the present one by this share for each load.
+/// Share by which the best speed decays towards the current speed with each load.
 constexpr double kBestFade = 0.005;
 
 }  // namespace
--- a/src/placement/timer_queue.h
+++ b/src/placement/timer_queue.h
@@ -9,11 +9,11 @@
 
 namespace ferryrock::placement {
 
-/// One timer for each key. Costs O(log keys).
+/// At most one timer for each key. Operations are O(log keys).
 template <class Key>
 class TimerQueue {
  public:
-  /// Sets the key's timer, or clears it.
+  /// Sets the key's timer; nullopt clears it.
   void set(const Key& key, std::optional<TimePoint> time) {
     clear(key);
     if (time) {
@@ -30,7 +30,7 @@
     }
   }
 
-  /// Takes out one key whose time has come.
+  /// Removes and returns one key whose timer is due.
   std::optional<Key> popDue(TimePoint now) {
     if (order_.empty() || order_.begin()->first > now) {
       return std::nullopt;
--- a/tests/placement/cell_fixture.h
+++ b/tests/placement/cell_fixture.h
@@ -8,7 +8,7 @@
 
 #include "placement/policies.h"
 
-/// A ledger and a planner with hand-driven engines, under a virtual clock.
+/// Fixture with a ledger, a planner, manually driven engines and a virtual clock.
 namespace ferryrock::placement {
 
 inline constexpr std::uint64_t kGigabyte = 1'000'000'000;
@@ -34,7 +34,7 @@
   return model;
 }
 
-/// Applies the planner's proposals to the ledger at once; loads end only when a test says so.
+/// Applies the planner's proposals to the ledger immediately; loads end only when the test calls for it.
 class CellFixture {
  public:
   TimePoint now{std::chrono::hours(1)};
@@ -84,7 +84,7 @@
     settle();
   }
 
-  /// Plans until nothing more is proposed at this instant.
+  /// Plans repeatedly until the planner proposes nothing more at the current time.
   void settle() {
     for (int round = 0; round < 100; ++round) {
       const PlannerEffects effects = planner->plan(now);
@@ -97,7 +97,7 @@
     }
   }
 
-  /// Lets time pass, planning at every deadline.
+  /// Advances the clock, planning at every deadline.
   void advance(Duration duration) {
     const TimePoint end = now + duration;
     while (planner->nextDeadline() <= end) {
@@ -135,7 +135,7 @@
     setState(slot, wire::SlotState::Freed, wire::FreeProof::UnloadAcknowledged);
   }
 
-  /// Every decided load ends well.
+  /// Completes every decided load successfully.
   void finishLoads() {
     for (const SlotId slot : inState(wire::SlotState::Decided)) {
       setState(slot, wire::SlotState::Loading);
@@ -143,7 +143,7 @@
     }
   }
 
-  /// Every draining replica is unloaded.
+  /// Unloads every draining replica.
   void finishDrains() {
     for (const SlotId slot : inState(wire::SlotState::Draining)) {
       unload(slot);
--- a/tests/placement/demand_table_test.cc
+++ b/tests/placement/demand_table_test.cc
@@ -17,7 +17,7 @@
   return ModelName("name-" + std::to_string(name));
 }
 
-/// Names 0 and 1 need base 0, 2 and 3 need base 1, and so on.
+/// Names 0 and 1 have base model 0, names 2 and 3 base model 1, and so on.
 ModelName baseOf(std::size_t name) {
   return ModelName("base-" + std::to_string(name / 2));
 }
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("the totals are the sums of each router's last figures, however often rows are renewed") {
+TEST_CASE("totals equal the sum of each router's last report after any number of renewals") {
   const std::uint64_t seed = GENERATE(range(1, 21));
   CAPTURE(seed);
   Random random(seed);
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("a row that is renewed again and again outlives its lifetime, one that isn't doesn't") {
+TEST_CASE("a row expires after its lifetime unless reports renew it") {
   DemandTable table([](const ModelName& name) { return std::optional<ModelName>(name); });
   const auto report = [&table](const char* router, std::uint64_t sequence, TimePoint now) {
     wire::DemandReport sent;
--- a/tests/placement/ledger_property_test.cc
+++ b/tests/placement/ledger_property_test.cc
@@ -5,7 +5,8 @@
 
 #include "placement/ledger.h"
 
-/// Random commands against a naive ledger that keeps nothing but lists and counts everything anew.
+/// Compares the ledger with a naive one, which keeps plain lists and recomputes every total, on random
+/// commands.
 namespace ferryrock::placement {
 namespace {
 
@@ -46,7 +47,7 @@
   std::uint64_t lost_incarnation = 0;
 };
 
-/// The oracle.
+/// Reference implementation of the ledger, used as the oracle.
 struct NaiveLedger {
   std::vector<NaiveSlot> slots;
   NaiveEngine engines[kEngines];
@@ -185,7 +186,7 @@
   return ModelName{"model-" + std::to_string(index)};
 }
 
-/// Applies a step to both; returns whether they agree that it was accepted.
+/// Applies a step to both ledgers; returns whether they agree on accepting it.
 bool applyBoth(const Step& step, Ledger& ledger, NaiveLedger& oracle) {
   const auto ok = [](const wire::CommandResult& result) { return result.code == ResultCode::Ok; };
   const std::uint64_t incarnation = 1 + step.number % 3;
@@ -264,7 +265,7 @@
                               rc::gen::set(&Step::number, rc::gen::inRange(0, 9)));
 }
 
-TEST_CASE("the ledger agrees with a naive one on every command") {
+TEST_CASE("the ledger agrees with a naive reference ledger on every command") {
   constexpr int kKeepOther = 0;
   setenv("RC_PARAMS", "seed=20260 max_success=400 max_size=300", kKeepOther);
   const bool holds = rc::check("ledger against oracle", [] {
--- a/tests/placement/ledger_test.cc
+++ b/tests/placement/ledger_test.cc
@@ -39,7 +39,7 @@
   return ledger;
 }
 
-TEST_CASE("a decision is refused that the engine, the memory or the maximum doesn't allow") {
+TEST_CASE("a slot decision that the engine, its memory or the replica limit does not allow is rejected") {
   struct Row {
     const char* what;
     wire::DecideSlotCommand command;
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_CASE("a draining engine takes no new replica") {
+TEST_CASE("a draining engine accepts no new replica") {
   Ledger ledger;
   ledger.apply(registration(1));
   ledger.apply(wire::DrainEngineCommand{kEngine, true});
@@ -83,7 +83,7 @@
         ResultCode::UnknownEngine);
 }
 
-TEST_CASE("a slot is freed only on proof") {
+TEST_CASE("a slot is freed only with proof of unloading or of a new incarnation") {
   struct Row {
     const char* what;
     wire::SlotState state;
@@ -116,7 +116,9 @@
   }
 }
 
-TEST_CASE("slot states move forward only, for the slot's own incarnation, and repeats change nothing") {
+TEST_CASE(
+    "slot states only move forward, only for the slot's own incarnation, and repeated commands change "
+    "nothing") {
   Ledger ledger = ledgerWithSlot();
   const auto move = [&](wire::SlotState state, std::uint64_t incarnation = 1) {
     return ledger
@@ -141,7 +143,7 @@
             .code == ResultCode::UnknownSlot);
 }
 
-TEST_CASE("a new incarnation frees what the older one held, and a late older one is refused") {
+TEST_CASE("a new incarnation frees the slots of the previous one, whose late registration is rejected") {
   Ledger ledger = ledgerWithSlot();
   CHECK(ledger.apply(registration(2)).code == ResultCode::Ok);
   CHECK(ledger.slots().empty());
@@ -149,14 +151,15 @@
   CHECK(ledger.apply(decision({0}, 100, 2), {1}).slot == SlotId{2});
 }
 
-TEST_CASE("the same incarnation can't change its accelerators under its slots") {
+TEST_CASE("an incarnation that holds slots cannot change its accelerators") {
   Ledger ledger = ledgerWithSlot();
   CHECK(ledger.apply(registration(1)).code == ResultCode::Ok);
   CHECK(ledger.apply(registration(1, 1)).code == ResultCode::MemoryWouldOvercommit);
   CHECK(ledger.slots().size() == 1);
 }
 
-TEST_CASE("a removed machine frees its slots, and if it lived on, they come back to be unloaded") {
+TEST_CASE(
+    "removing a machine frees its slots, which are restored for unloading if its engine is still running") {
   Ledger ledger = ledgerWithSlot();
   ledger.apply(wire::DecideAdapterCommand{SlotId{1}, ModelName{"adapter"}, 10, false});
   ledger.apply(wire::RemoveMachineCommand{MachineName{"machine-1"}});
@@ -171,7 +174,7 @@
   CHECK(ledger.slots().empty());
 }
 
-TEST_CASE("adapters take memory of their slot's accelerators") {
+TEST_CASE("adapters occupy memory on the accelerators of their slot") {
   Ledger ledger = ledgerWithSlot();
   const ModelName adapter{"adapter"};
   const auto decide = [&](std::uint64_t bytes, bool remove = false) {
@@ -191,7 +194,7 @@
         ResultCode::UnknownSlot);
 }
 
-TEST_CASE("a restored ledger is the same, and damaged bytes change nothing") {
+TEST_CASE("a restored ledger equals the original, and corrupted bytes leave a ledger unchanged") {
   Ledger ledger = ledgerWithSlot();
   ledger.apply(wire::DecideAdapterCommand{SlotId{1}, ModelName{"adapter"}, 10, false});
   const std::string bytes = ledger.serialize();
--- a/tests/placement/planner_test.cc
+++ b/tests/placement/planner_test.cc
@@ -21,7 +21,7 @@
   return policies;
 }
 
-TEST_CASE("a burst for a cold model at many routers is one load") {
+TEST_CASE("a burst of requests for a cold model at many routers causes one load") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addEngine("engine-2", "zone-2");
@@ -34,7 +34,7 @@
   CHECK(cell.countOf("diagnosis") == 1);
 }
 
-TEST_CASE("without merged demand each router asks for a replica of its own") {
+TEST_CASE("without aggregated demand each router requests a replica of its own") {
   CellFixture cell;
   for (int engine = 0; engine < 4; ++engine) {
     cell.addEngine("engine-" + std::to_string(engine));
@@ -51,7 +51,7 @@
   CHECK(cell.countOf("diagnosis") == 3);
 }
 
-TEST_CASE("replicas follow demand up to the maximum, and are spread over zones") {
+TEST_CASE("the number of replicas follows demand up to the maximum, spread over zones") {
   CellFixture cell;
   for (int engine = 0; engine < 6; ++engine) {
     cell.addEngine("engine-" + std::to_string(engine), "zone-" + std::to_string(engine % 3));
@@ -78,7 +78,7 @@
   CHECK(cell.countOf("booking") == 1);
 }
 
-TEST_CASE("an idle replica is given back after its keep-alive") {
+TEST_CASE("an idle replica is released after its keep-alive time") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("diagnosis"));
@@ -97,7 +97,8 @@
   CHECK(cell.countOf("diagnosis") == 0);
 }
 
-TEST_CASE("two models that don't fit together, wanted at the same instant, are served in turn") {
+TEST_CASE(
+    "two models that do not fit in memory together are served in turn when requested at the same time") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("first", 60));
@@ -120,7 +121,7 @@
   CHECK(cell.countOf(loser) == 1);
 }
 
-TEST_CASE("an adapter is loaded with its base model and swapped without unloading it") {
+TEST_CASE("an adapter is loaded with its base model and replaced without unloading the base model") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("base", 70));
@@ -160,7 +161,7 @@
   CHECK(cell.onlySlotOf("base").adapters == std::vector<ModelName>{ModelName{"adapter"}});
 }
 
-TEST_CASE("an idle replica beside a full one gives way to an adapter in demand") {
+TEST_CASE("an idle replica is evicted to make room for an adapter in demand of a neighbouring replica") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("base", 40));
@@ -179,7 +180,7 @@
   CHECK(cell.onlySlotOf("base").adapters == std::vector<ModelName>{ModelName{"adapter"}});
 }
 
-TEST_CASE("a replica beside which an adapter never fits is moved, or joined by another") {
+TEST_CASE("a replica without room for an adapter in demand is moved or supplemented by a second replica") {
   const std::uint32_t maximum = GENERATE(1, 2);
   CellFixture cell;
   cell.addEngine("engine-1");
@@ -208,7 +209,7 @@
   CHECK(cell.countOf("filler") == 1);
 }
 
-TEST_CASE("a queued load begins at its turn, however often engines report in between") {
+TEST_CASE("a queued load begins in its turn regardless of the number of engine reports in between") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addEngine("engine-2");
@@ -228,7 +229,7 @@
   CHECK(cell.countOf("second") == 1);
 }
 
-TEST_CASE("after a failed load the next try is expected, not given up") {
+TEST_CASE("after a failed load the expected load time includes the delay of the next attempt") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("diagnosis"));
@@ -249,7 +250,7 @@
   CHECK(cell.countOf("diagnosis") == 1);
 }
 
-TEST_CASE("a load that waited for memory to come free makes room once it is asked for") {
+TEST_CASE("a load that waits for free memory evicts an idle replica once requests demand the model") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("filler", 60));
@@ -258,7 +259,7 @@
   cell.demand("filler", 1);
   cell.finishLoads();
   cell.demand("filler", 0);
-  // An arrival that was over before the report: interest, which evicts nothing.
+  // A request that ended before the report creates interest, which evicts nothing.
   cell.planner->onDemand({NodeName{"router-2"}, 1, {{ModelName{"diagnosis"}, 0, 0, 0, 1}}}, cell.now);
   cell.advance(seconds(5));
   REQUIRE(cell.inState(wire::SlotState::Draining).empty());
@@ -269,7 +270,7 @@
   CHECK(cell.countOf("diagnosis") == 1);
 }
 
-TEST_CASE("a spare replica of the same model gives way to an adapter in demand") {
+TEST_CASE("a spare replica of the same model is released to make room for an adapter in demand") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("base", 40, 2));
@@ -287,7 +288,7 @@
   CHECK(cell.onlySlotOf("base").adapters == std::vector<ModelName>{ModelName{"adapter"}});
 }
 
-TEST_CASE("an operator's drain empties an engine of idle replicas that fit nowhere else") {
+TEST_CASE("draining an engine releases its idle replicas even if they fit on no other engine") {
   CellFixture cell;
   cell.addEngine("engine-1");
   cell.addModel(makeModel("booking", 40, 2));
