--- a/src/placement/ledger.cc
+++ b/src/placement/ledger.cc
@@ -62,7 +62,7 @@
     const EngineRecord& before = known->second;
     if (command.incarnation < before.incarnation) {
       return refusal(ResultCode::WrongIncarnation, "engine " + command.engine.value +
-                                                       " is known with incarnation " +
+                                                       " is registered with incarnation " +
                                                        std::to_string(before.incarnation.value));
     }
     const bool same_shape = before.accelerators == command.accelerators &&
@@ -123,18 +123,18 @@
 wire::CommandResult Ledger::checkDecision(const wire::Slot& slot, const ModelLimits& limits) const {
   const EngineRecord* engine = findEngine(slot.engine);
   if (engine == nullptr) {
-    return refusal(ResultCode::UnknownEngine, "engine " + slot.engine.value + " isn't registered");
+    return refusal(ResultCode::UnknownEngine, "engine " + slot.engine.value + " is not registered");
   }
   if (checks_.incarnation && engine->incarnation != slot.incarnation) {
     return refusal(ResultCode::WrongIncarnation, "engine " + slot.engine.value + " has incarnation " +
                                                      std::to_string(engine->incarnation.value));
   }
   if (engine->draining) {
-    return refusal(ResultCode::WrongSlotState, "engine " + slot.engine.value + " drains");
+    return refusal(ResultCode::WrongSlotState, "engine " + slot.engine.value + " is draining");
   }
   if (!validAccelerators(slot.accelerators, engine->accelerators)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
-                   "engine " + slot.engine.value + " doesn't have the accelerators that were named");
+                   "engine " + slot.engine.value + " does not have the requested set of accelerators");
   }
   if (!fits(*engine, slot.accelerators, slot.bytes_per_accelerator)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
@@ -145,7 +145,7 @@
   if (checks_.replica_limit && count >= limits.max_replicas) {
     return refusal(
         ResultCode::ReplicaLimitReached,
-        "model " + slot.model.value + " has " + std::to_string(count) + " replicas that aren't freed");
+        "model " + slot.model.value + " has " + std::to_string(count) + " replicas that are not freed");
   }
   return success();
 }
@@ -153,7 +153,7 @@
 wire::CommandResult Ledger::apply(const wire::DecideAdapterCommand& command) {
   const auto entry = slots_.find(command.slot);
   if (entry == slots_.end()) {
-    return refusal(ResultCode::UnknownSlot, text(command.slot) + " isn't held");
+    return refusal(ResultCode::UnknownSlot, text(command.slot) + " is not in the ledger");
   }
   wire::Slot& slot = entry->second;
   const bool present =
@@ -171,7 +171,7 @@
     return success();
   }
   if (slot.state > wire::SlotState::Ready) {
-    return refusal(ResultCode::WrongSlotState, text(command.slot) + " drains or unloads");
+    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is draining or unloading");
   }
   if (!fits(engines_.at(slot.engine), slot.accelerators, command.bytes)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
@@ -188,7 +188,8 @@
   const auto entry = slots_.find(command.slot);
   if (entry == slots_.end()) {
     const bool was_freed = command.slot < next_slot_ && command.state == wire::SlotState::Freed;
-    return was_freed ? success() : refusal(ResultCode::UnknownSlot, text(command.slot) + " isn't held");
+    return was_freed ? success()
+                     : refusal(ResultCode::UnknownSlot, text(command.slot) + " is not in the ledger");
   }
   wire::Slot& slot = entry->second;
   if (command.state == wire::SlotState::Freed) {
@@ -202,7 +203,7 @@
     return refusal(ResultCode::WrongIncarnation, text(command.slot) + " belongs to another incarnation");
   }
   if (command.state < slot.state) {
-    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is further on already");
+    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is already in a later state");
   }
   slot.state = command.state;
   return success();
@@ -219,13 +220,13 @@
   if (unloaded || replaced) {
     return success();
   }
-  return refusal(ResultCode::WrongSlotState, text(slot.id) + " isn't proven to be unloaded");
+  return refusal(ResultCode::WrongSlotState, text(slot.id) + " is not proven to be unloaded");
 }
 
 wire::CommandResult Ledger::apply(const wire::DrainEngineCommand& command) {
   const auto engine = engines_.find(command.engine);
   if (engine == engines_.end()) {
-    return refusal(ResultCode::UnknownEngine, "engine " + command.engine.value + " isn't registered");
+    return refusal(ResultCode::UnknownEngine, "engine " + command.engine.value + " is not registered");
   }
   engine->second.draining = command.drain;
   return success();
@@ -376,7 +377,8 @@
   for (const auto& [id, slot] : image.slots) {
     const EngineRecord* engine = restored.findEngine(slot.engine);
     if (engine == nullptr || !validAccelerators(slot.accelerators, engine->accelerators)) {
-      throw Error(ResultCode::MalformedMessage, text(id) + " names an engine that the ledger doesn't hold");
+      throw Error(ResultCode::MalformedMessage,
+                  text(id) + " refers to an unknown engine or to invalid accelerators");
     }
     restored.insertSlot(slot);
   }
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -97,8 +97,9 @@
   explanation.model = settings == nullptr ? name : settings->base;
   const ModelState* state = findState(explanation.model);
   if (state == nullptr) {
-    explanation.reasons.push_back(settings == nullptr ? "The settings tree doesn't hold this name."
-                                                      : "Nobody has asked for it since this leader began.");
+    explanation.reasons.push_back(settings == nullptr
+                                      ? "The settings tree does not contain this name."
+                                      : "No request for this model has arrived since this leader started.");
     return explanation;
   }
   const ReplicaCounts counts = countReplicas(*state);
@@ -112,20 +113,20 @@
     explanation.wanted = std::min(explanation.wanted, maximumOf(*state));
     reasons.push_back("Between " + std::to_string(state->settings->min_replicas) + " and " +
                       std::to_string(state->settings->max_replicas) + " replicas are allowed; " +
-                      std::to_string(demand.waiting) + " requests wait and " +
-                      std::to_string(demand.running) + " run, " +
-                      std::to_string(state->settings->concurrency) + " at once on a replica.");
+                      std::to_string(demand.waiting) + " requests are waiting and " +
+                      std::to_string(demand.running) + " are running, with a limit of " +
+                      std::to_string(state->settings->concurrency) + " concurrent requests per replica.");
   } else {
-    reasons.push_back("The settings tree no longer holds it; its replicas are given back.");
+    reasons.push_back("The settings tree no longer contains this model; its replicas are released.");
   }
   if (state->idle_since) {
     const Duration idle = now - *state->idle_since;
-    std::string sentence = "It has been idle for " + inSeconds(idle) + " and is kept for " +
+    std::string sentence = "The model has been idle for " + inSeconds(idle) + " and is kept for " +
                            inSeconds(state->idle_decision.keep) +
-                           " by what its own gaps and cold_start_weight say";
+                           " according to its idle gaps and cold_start_weight";
     if (state->idle_decision.prewarm) {
       sentence +=
-          "; it is loaded again " + inSeconds(state->idle_decision.prewarm->begin) + " after its last use";
+          "; it is prewarmed " + inSeconds(state->idle_decision.prewarm->begin) + " after its last use";
     }
     reasons.push_back(sentence + ".");
   }
@@ -138,9 +139,9 @@
       sentence += ", from " + tierName(view->tier) + ", for " + inSeconds(now - view->decided_at);
     }
     if (engine == nullptr || !engine->reachable) {
-      sentence += "; the engine can't be reached, so it holds the slot until there is proof";
+      sentence += "; the engine is unreachable, so the slot stays held until it is proven to be free";
     } else if (!engine->usable()) {
-      sentence += "; the engine drains or its machine leaves";
+      sentence += "; the engine is draining or its machine is leaving";
     }
     reasons.push_back(sentence + ".");
   }
@@ -149,7 +150,7 @@
     reasons.push_back("A load has waited for " + inSeconds(now - candidate.wanted_since) + ", with " +
                       std::to_string(load_queue_.size()) + " models in the queue.");
     if (isLate(candidate, now)) {
-      reasons.push_back("It can't be in time for those who wait now.");
+      reasons.push_back("The load cannot end before the earliest deadline of the waiting requests.");
     }
   }
   if (!state->obstacle.empty()) {
@@ -160,7 +161,7 @@
                       " was rolled back because its loads failed; change the settings to try again.");
   }
   if (store_.isSlow()) {
-    reasons.push_back("The weight store is slow at present.");
+    reasons.push_back("The weight store is currently slow.");
   }
   return explanation;
 }
--- a/src/placement/planner_loads.cc
+++ b/src/placement/planner_loads.cc
@@ -165,8 +165,9 @@
   const std::optional<Placement> placement = place(state, now);
   if (!placement) {
     const bool being_made = makeRoom(state, candidate, now);
-    state.obstacle = being_made ? "room is being made by giving back idle replicas of less worth"
-                                : "no engine has room, and no idle replica of less worth could make it";
+    state.obstacle =
+        being_made ? "idle replicas are being evicted to make room"
+                   : "no engine has enough free memory, and no idle replicas can be evicted to make room";
     state.blocked_epoch = memory_epoch_;
     if (!being_made && countReplicas(state).leaving > 0) {
       markDirty(state.name);
@@ -174,7 +175,7 @@
     return LoadOutcome::NoRoom;
   }
   if (placement->tier == CheckpointTier::Remote && !store_.mayBegin(remoteInFlight(), now)) {
-    state.obstacle = "it waits for its turn at the weight store";
+    state.obstacle = "the rate or width limit of the weight store is reached";
     state.placeable_epoch = memory_epoch_;
     return LoadOutcome::StoreBusy;
   }
--- a/src/placement/planner_reconcile.cc
+++ b/src/placement/planner_reconcile.cc
@@ -146,12 +146,12 @@
     return;
   }
   if (counts.total + counts.pending >= maximumOf(state)) {
-    state.obstacle = "every replica that the maximum allows is decided, and some can't serve now";
+    state.obstacle = "the maximum number of replicas is reached, and some of them cannot serve now";
     load_queue_.erase(state.name);
     return;
   }
   if (state.retry_at && now < *state.retry_at) {
-    state.obstacle = "the last load failed; the next try waits";
+    state.obstacle = "the last load failed and its retry delay has not elapsed";
     load_queue_.erase(state.name);
     return;
   }
@@ -299,7 +299,7 @@
       return;
     }
   }
-  state.obstacle = "the new version fits in no place of a replica of the old one";
+  state.obstacle = "no engine has room for the new version, even in place of a replica of the old one";
 }
 
 bool PlannerImpl::fitsInsteadOf(const ModelState& state, const SlotView& old) const {
