--- a/src/placement/demand_table.cc
+++ b/src/placement/demand_table.cc
@@ -6,7 +6,7 @@
 /// A row that no report renews for this long is dropped. Routers report a name whenever its demand changes.
 constexpr Duration kRowLifetime = std::chrono::minutes(10);
 /// A renewed row keeps its expiry while at least this much of its lifetime remains.
-constexpr Duration kFreshLifetime = std::chrono::minutes(9);
+constexpr Duration kMinRemainingLifetime = std::chrono::minutes(9);
 /// A row with waiting requests only expires this long after its earliest deadline: the reported requests have
 /// ended by then, and later requests would have renewed the row.
 constexpr Duration kDeadlineGrace = std::chrono::minutes(2);
@@ -14,7 +14,7 @@
 /// report.
 constexpr std::uint64_t kReorderWindow = 16;
 
-bool wasOvertaken(std::uint64_t sequence, std::uint64_t last) {
+bool isReordered(std::uint64_t sequence, std::uint64_t last) {
   constexpr std::uint64_t kFirstSequence = 1;
   return sequence > kFirstSequence && sequence <= last && last - sequence < kReorderWindow;
 }
@@ -24,7 +24,7 @@
 std::vector<DemandTable::Change> DemandTable::apply(const wire::DemandReport& report, TimePoint now) {
   std::vector<Change> changes;
   Router& router = routers_[report.router];
-  if (wasOvertaken(report.sequence, router.sequence)) {
+  if (isReordered(report.sequence, router.sequence)) {
     return changes;
   }
   if (report.sequence <= router.sequence) {
@@ -183,7 +183,7 @@
     return false;
   }
   Row& row = entry->second;
-  const bool fresh = row.expiry >= now + kFreshLifetime;
+  const bool fresh = row.expiry >= now + kMinRemainingLifetime;
   if (!fresh || row.waiting > 0 || row.base != base) {
     return false;
   }
--- a/src/placement/engine_index.cc
+++ b/src/placement/engine_index.cc
@@ -10,12 +10,12 @@
 /// Holders of a checkpoint examined in each tier.
 constexpr std::size_t kHolderProbes = 16;
 
-std::vector<std::uint64_t> fallingOrder(std::vector<std::uint64_t> free_bytes) {
+std::vector<std::uint64_t> sortedDescending(std::vector<std::uint64_t> free_bytes) {
   std::sort(free_bytes.rbegin(), free_bytes.rend());
   return free_bytes;
 }
 
-bool allowed(const std::vector<std::string>& zones, const ZoneName& zone) {
+bool isZoneAllowed(const std::vector<std::string>& zones, const ZoneName& zone) {
   return zones.empty() || std::find(zones.begin(), zones.end(), zone.value) != zones.end();
 }
 
@@ -43,12 +43,12 @@
   }
   EngineView& view = engines_[name];
   if (view.record.incarnation != record->incarnation) {
-    view.promised_bytes.clear();
+    view.reserved_bytes.clear();
     view.reachable = true;
   }
   view.record = *record;
   largest_accelerator_bytes_ = std::max(largest_accelerator_bytes_, record->bytes_per_accelerator);
-  view.promised_bytes.resize(record->accelerators, 0);
+  view.reserved_bytes.resize(record->accelerators, 0);
   const auto leaving = leaving_.find(record->machine);
   view.leaving = leaving != leaving_.end();
   view.leaves_at = view.leaving ? leaving->second : std::nullopt;
@@ -61,7 +61,7 @@
   const std::vector<std::uint64_t> held = ledger_.heldBytes(view.record.name);
   view.free_bytes.assign(view.record.accelerators, 0);
   for (std::size_t index = 0; index < view.free_bytes.size(); ++index) {
-    const std::uint64_t taken = held[index] + view.promised_bytes[index];
+    const std::uint64_t taken = held[index] + view.reserved_bytes[index];
     view.free_bytes[index] =
         taken < view.record.bytes_per_accelerator ? view.record.bytes_per_accelerator - taken : 0;
   }
@@ -102,18 +102,18 @@
   }
 }
 
-void EngineIndex::promise(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
-                          std::uint64_t bytes) {
-  updatePromise(name, accelerators, bytes, true);
+void EngineIndex::reserveMemory(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                                std::uint64_t bytes) {
+  updateReservation(name, accelerators, bytes, true);
 }
 
-void EngineIndex::withdraw(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
-                           std::uint64_t bytes) {
-  updatePromise(name, accelerators, bytes, false);
+void EngineIndex::releaseMemory(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                                std::uint64_t bytes) {
+  updateReservation(name, accelerators, bytes, false);
 }
 
-void EngineIndex::updatePromise(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
-                                std::uint64_t bytes, bool add) {
+void EngineIndex::updateReservation(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                                    std::uint64_t bytes, bool add) {
   const auto entry = engines_.find(name);
   if (entry == engines_.end()) {
     return;
@@ -121,11 +121,11 @@
   EngineView& view = entry->second;
   removeFromOrders(view);
   for (const std::uint32_t accelerator : accelerators) {
-    if (accelerator >= view.promised_bytes.size()) {
+    if (accelerator >= view.reserved_bytes.size()) {
       continue;
     }
-    std::uint64_t& promised = view.promised_bytes[accelerator];
-    promised = add ? promised + bytes : promised - std::min(promised, bytes);
+    std::uint64_t& reserved = view.reserved_bytes[accelerator];
+    reserved = add ? reserved + bytes : reserved - std::min(reserved, bytes);
   }
   computeFree(view);
   addToOrders(view);
@@ -178,7 +178,7 @@
     for (const EngineName& name : entry->second) {
       const EngineView& view = engines_.at(name);
       const bool fits = !chooseAccelerators(view.free_bytes, shape).empty();
-      if (view.usable() && fits && allowed(zones, view.record.zone)) {
+      if (view.usable() && fits && isZoneAllowed(zones, view.record.zone)) {
         found.insert(name);
       }
       if (++probes == kHolderProbes) {
@@ -187,7 +187,7 @@
     }
   }
   for (const auto& [zone, orders] : zones_) {
-    if (!allowed(zones, zone) || shape.accelerators == 0 || shape.accelerators > orders.size()) {
+    if (!isZoneAllowed(zones, zone) || shape.accelerators == 0 || shape.accelerators > orders.size()) {
       continue;
     }
     const FreeOrder& order = orders[shape.accelerators - 1];
@@ -231,7 +231,7 @@
   return best == nullptr ? std::nullopt : std::optional<EngineName>(best->rbegin()->second);
 }
 
-bool EngineIndex::heldNear(const ModelName& model, CheckpointTier tier) const {
+bool EngineIndex::hasCheckpoint(const ModelName& model, CheckpointTier tier) const {
   const auto& holders = tier == CheckpointTier::Memory ? memory_holders_ : disk_holders_;
   return holders.contains(model);
 }
@@ -249,7 +249,7 @@
     return;
   }
   ZoneOrders& orders = zones_[view.record.zone];
-  const std::vector<std::uint64_t> free_bytes = fallingOrder(view.free_bytes);
+  const std::vector<std::uint64_t> free_bytes = sortedDescending(view.free_bytes);
   if (orders.size() < free_bytes.size()) {
     orders.resize(free_bytes.size());
   }
@@ -263,7 +263,7 @@
   if (zone == zones_.end()) {
     return;
   }
-  const std::vector<std::uint64_t> free_bytes = fallingOrder(view.free_bytes);
+  const std::vector<std::uint64_t> free_bytes = sortedDescending(view.free_bytes);
   for (std::size_t index = 0; index < free_bytes.size() && index < zone->second.size(); ++index) {
     zone->second[index].erase({free_bytes[index], view.record.name});
   }
--- a/src/placement/engine_index.h
+++ b/src/placement/engine_index.h
@@ -21,7 +21,7 @@
 struct EngineView {
   EngineRecord record;
   std::vector<std::uint64_t> free_bytes;      ///< by accelerator; held and reserved bytes are subtracted
-  std::vector<std::uint64_t> promised_bytes;  ///< by accelerator
+  std::vector<std::uint64_t> reserved_bytes;  ///< by accelerator
   bool reachable = true;
   bool leaving = false;
   std::optional<TimePoint> leaves_at;
@@ -47,8 +47,10 @@
   void setLeaving(const MachineName& machine, bool leaving, std::optional<TimePoint> leaves_at);
 
   /// Reserves memory for a proposal, or releases the reservation.
-  void promise(const EngineName& name, const std::vector<std::uint32_t>& accelerators, std::uint64_t bytes);
-  void withdraw(const EngineName& name, const std::vector<std::uint32_t>& accelerators, std::uint64_t bytes);
+  void reserveMemory(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                     std::uint64_t bytes);
+  void releaseMemory(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                     std::uint64_t bytes);
 
   const EngineView* find(const EngineName& name) const;
   CheckpointTier tierOf(const EngineName& engine, const ModelName& model) const;
@@ -65,7 +67,7 @@
   std::optional<EngineName> prefetchTarget(const ModelName& model, CheckpointTier to) const;
   /// Memory of the largest accelerator of any engine registered since the index was created.
   std::uint64_t largestAcceleratorBytes() const { return largest_accelerator_bytes_; }
-  bool heldNear(const ModelName& model, CheckpointTier tier) const;
+  bool hasCheckpoint(const ModelName& model, CheckpointTier tier) const;
   std::vector<EngineName> enginesOf(const MachineName& machine) const;
 
  private:
@@ -75,8 +77,8 @@
 
   void addToOrders(const EngineView& view);
   void removeFromOrders(const EngineView& view);
-  void updatePromise(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
-                     std::uint64_t bytes, bool add);
+  void updateReservation(const EngineName& name, const std::vector<std::uint32_t>& accelerators,
+                         std::uint64_t bytes, bool add);
   void computeFree(EngineView& view) const;
   static void replaceHolders(std::map<ModelName, std::set<EngineName>>& holders, const EngineName& engine,
                              std::set<ModelName>& before, const std::vector<ModelName>& after);
--- a/src/placement/gap_history.cc
+++ b/src/placement/gap_history.cc
@@ -12,11 +12,11 @@
 
 constexpr int kDayParts = 6;
 constexpr int kGapBins = 32;
-constexpr double kShortestGapSeconds = 1;
-constexpr double kLongestGapSeconds = 7 * 24 * 3600;
+constexpr double kMinGapSeconds = 1;
+constexpr double kMaxGapSeconds = 7 * 24 * 3600;
 constexpr std::int64_t kSecondsPerDay = 24LL * 3600;
 /// All counts are halved when the total exceeds this, so that old gaps decay.
-constexpr double kFadeAbove = 400;
+constexpr double kDecayThreshold = 400;
 /// Smoothing weights in numbers of gaps: of the whole day against a part of the day, and of the prior against
 /// the model.
 constexpr double kPooledWeight = 6;
@@ -37,7 +37,7 @@
 double boundedSeconds(Duration gap) {
   constexpr double kInside = 0.999;
   const double seconds = toSeconds(gap);
-  return std::clamp(seconds, kShortestGapSeconds, kLongestGapSeconds * kInside);
+  return std::clamp(seconds, kMinGapSeconds, kMaxGapSeconds * kInside);
 }
 
 GapDistribution emptyBins(const GapAxis& axis) {
@@ -52,14 +52,14 @@
 
 }  // namespace
 
-double GapBin::middleSeconds() const {
+double GapBin::representativeSeconds() const {
   return low_seconds > 0 ? std::sqrt(low_seconds * high_seconds) : high_seconds / 2;
 }
 
 struct GapHistory::Histogram {
   Counts counts = histogram::make_histogram_with(
       Storage{}, DayAxis(0, kDayParts),
-      GapAxis(histogram::axis::transform::log{}, kGapBins, kShortestGapSeconds, kLongestGapSeconds));
+      GapAxis(histogram::axis::transform::log{}, kGapBins, kMinGapSeconds, kMaxGapSeconds));
   double total = 0;
   float day_totals[kDayParts] = {};
 };
@@ -74,7 +74,7 @@
   histogram_->counts(part, boundedSeconds(gap));
   histogram_->total += 1;
   histogram_->day_totals[part] += 1;
-  if (histogram_->total <= kFadeAbove) {
+  if (histogram_->total <= kDecayThreshold) {
     return;
   }
   histogram_->counts *= 0.5;
--- a/src/placement/gap_history.h
+++ b/src/placement/gap_history.h
@@ -13,7 +13,7 @@
   double high_seconds = 0;
   double probability = 0;
   /// Representative length of the bin: its geometric mean, or half of its upper edge if it begins at 0.
-  double middleSeconds() const;
+  double representativeSeconds() const;
 };
 using GapDistribution = std::vector<GapBin>;
 
--- a/src/placement/keep_alive_policy.cc
+++ b/src/placement/keep_alive_policy.cc
@@ -6,13 +6,13 @@
 namespace ferryrock::placement {
 namespace {
 
-constexpr double kLongestWeight = 0.9999;
+constexpr double kMaxColdStartWeight = 0.9999;
 /// Time ahead within which an expected use counts towards the retention value of an idle replica.
-constexpr double kWorthHorizonSeconds = 3600;
+constexpr double kRetentionHorizonSeconds = 3600;
 /// A prewarm begins this many expected load durations before the expected use.
 constexpr double kPrewarmMargin = 1.5;
 /// Lower bound on the accelerator share by which prices are divided.
-constexpr double kLeastShare = 0.01;
+constexpr double kMinAcceleratorShare = 0.01;
 
 /// Cumulative sums of a distribution up to each bin's upper edge.
 struct Cumulative {
@@ -24,7 +24,7 @@
   Cumulative sums{{0}, {0}};
   for (const GapBin& bin : bins) {
     sums.probability.push_back(sums.probability.back() + bin.probability);
-    sums.length.push_back(sums.length.back() + bin.probability * bin.middleSeconds());
+    sums.length.push_back(sums.length.back() + bin.probability * bin.representativeSeconds());
   }
   return sums;
 }
@@ -103,7 +103,7 @@
 }  // namespace
 
 double coldStartPrice(const IdleModel& model) {
-  const double weight = std::clamp(model.cold_start_weight, 0.0, kLongestWeight);
+  const double weight = std::clamp(model.cold_start_weight, 0.0, kMaxColdStartWeight);
   const double odds = weight / (1 - weight);
   const double load = toSeconds(model.expected_load);
   return load * (load / kTailSeconds) * kIdleSecondsPerColdSecond * odds;
@@ -136,19 +136,20 @@
   const GapDistribution bins = distributionOf(model.model, model.idle_since);
   KeepAliveDecision decision = KeepAliveSearch(bins, model).best();
   decision.keep =
-      std::clamp(decision.keep, model.shortest_keep, std::max(model.shortest_keep, model.longest_keep));
+      std::clamp(decision.keep, model.min_keep_alive, std::max(model.min_keep_alive, model.max_keep_alive));
   if (decision.prewarm && decision.prewarm->begin <= decision.keep) {
     decision.prewarm.reset();
   }
   return decision;
 }
 
-Duration LearnedKeepAlive::surplusKeep(const IdleModel& model) const {
-  const Duration break_even = fromSeconds(coldStartPrice(model) / std::max(kLeastShare, model.accelerators));
-  return std::clamp(break_even, Duration::zero(), std::max(model.shortest_keep, model.longest_keep));
+Duration LearnedKeepAlive::surplusKeepAlive(const IdleModel& model) const {
+  const Duration break_even =
+      fromSeconds(coldStartPrice(model) / std::max(kMinAcceleratorShare, model.accelerators));
+  return std::clamp(break_even, Duration::zero(), std::max(model.min_keep_alive, model.max_keep_alive));
 }
 
-double LearnedKeepAlive::worth(const IdleModel& model, TimePoint now) {
+double LearnedKeepAlive::retentionValue(const IdleModel& model, TimePoint now) {
   const double idle = toSeconds(now - model.idle_since);
   double alive = 0;
   double used_soon = 0;
@@ -157,13 +158,13 @@
       continue;
     }
     alive += bin.probability;
-    used_soon += bin.middleSeconds() < idle + kWorthHorizonSeconds ? bin.probability : 0;
+    used_soon += bin.representativeSeconds() < idle + kRetentionHorizonSeconds ? bin.probability : 0;
   }
   const double probability = alive > 0 ? used_soon / alive : 0;
-  return probability * coldStartPrice(model) / std::max(kLeastShare, model.accelerators);
+  return probability * coldStartPrice(model) / std::max(kMinAcceleratorShare, model.accelerators);
 }
 
-double FixedKeepAlive::worth(const IdleModel& model, TimePoint now) {
+double FixedKeepAlive::retentionValue(const IdleModel& model, TimePoint now) {
   return -toSeconds(now - model.idle_since);
 }
 
--- a/src/placement/keep_alive_policy.h
+++ b/src/placement/keep_alive_policy.h
@@ -26,8 +26,8 @@
   explicit LearnedKeepAlive(std::size_t max_models = 4096);
   void onGap(const ModelName& model, Duration gap, TimePoint idle_since) override;
   KeepAliveDecision decide(const IdleModel& model) override;
-  Duration surplusKeep(const IdleModel& model) const override;
-  double worth(const IdleModel& model, TimePoint now) override;
+  Duration surplusKeepAlive(const IdleModel& model) const override;
+  double retentionValue(const IdleModel& model, TimePoint now) override;
   std::size_t models() const { return histories_.size(); }
 
  private:
@@ -49,8 +49,8 @@
   explicit FixedKeepAlive(Duration keep) : keep_(keep) {}
   void onGap(const ModelName&, Duration, TimePoint) override {}
   KeepAliveDecision decide(const IdleModel&) override { return {keep_, std::nullopt}; }
-  Duration surplusKeep(const IdleModel&) const override { return keep_; }
-  double worth(const IdleModel& model, TimePoint now) override;
+  Duration surplusKeepAlive(const IdleModel&) const override { return keep_; }
+  double retentionValue(const IdleModel& model, TimePoint now) override;
 
  private:
   Duration keep_;
--- a/src/placement/ledger.cc
+++ b/src/placement/ledger.cc
@@ -95,7 +95,7 @@
   }
   const std::vector<EngineName> names = machine->second;
   for (const EngineName& name : names) {
-    rememberRemoved(engines_.at(name));
+    recordRemoved(engines_.at(name));
     freeSlotsOf(name);
     engines_.erase(name);
     held_.erase(name);
@@ -322,7 +322,7 @@
   }
 }
 
-void Ledger::rememberRemoved(const EngineRecord& engine) {
+void Ledger::recordRemoved(const EngineRecord& engine) {
   RemovedEngine removed{engine.name, engine.incarnation, {}};
   for (const SlotId id : slotsOn(engine.name)) {
     removed.slots.push_back(slots_.at(id));
--- a/src/placement/ledger.h
+++ b/src/placement/ledger.h
@@ -103,7 +103,7 @@
   void freeSlotsOf(const EngineName& engine);
   void addHeld(const wire::Slot& slot, std::uint64_t bytes);
   void removeHeld(const wire::Slot& slot, std::uint64_t bytes);
-  void rememberRemoved(const EngineRecord& engine);
+  void recordRemoved(const EngineRecord& engine);
   void restoreRemoved(const EngineName& engine, Incarnation incarnation);
   bool fits(const EngineRecord& engine, const std::vector<std::uint32_t>& accelerators,
             std::uint64_t bytes) const;
--- a/src/placement/load_policies.cc
+++ b/src/placement/load_policies.cc
@@ -37,14 +37,14 @@
 }
 
 double WaitingCostOrder::rank(const LoadCandidate& candidate, TimePoint now) const {
-  constexpr double kShortestLoad = 0.05;
-  const double duration = std::max(toSeconds(candidate.expected_load), kShortestLoad);
+  constexpr double kMinLoadSeconds = 0.05;
+  const double duration = std::max(toSeconds(candidate.expected_load), kMinLoadSeconds);
   double urgency = 1;
   if (candidate.earliest_deadline) {
     const double slack = toSeconds(*candidate.earliest_deadline - now) - duration;
     urgency = std::exp(-std::max(0.0, slack) / (kUrgencyScale * duration));
   }
-  const double age = toSeconds(now - candidate.wanted_since);
+  const double age = toSeconds(now - candidate.requested_since);
   const double cost = (candidate.waiting + 1 + age) * (candidate.cold_start_weight + 0.1) *
                       std::max(1.0, 1.0 + candidate.priority);
   const double late = isLate(candidate, now) ? kLateClass : 0;
@@ -52,7 +52,7 @@
 }
 
 double FirstComeOrder::rank(const LoadCandidate& candidate, TimePoint) const {
-  return toSeconds(candidate.wanted_since.time_since_epoch());
+  return toSeconds(candidate.requested_since.time_since_epoch());
 }
 
 std::uint32_t MergedReplicaCount::wanted(const DemandFigures& demand,
--- a/src/placement/model_state.h
+++ b/src/placement/model_state.h
@@ -26,11 +26,11 @@
   std::optional<TimePoint> interest_until;  ///< end of the interest of requests that found no ready replica
   std::vector<TimePoint> last_needed;       ///< element n: last time that more than n replicas were needed
   std::optional<StableVersion> stable;
-  std::optional<ModelVersion> refused_version;  ///< rolled back; not retried until the settings change
+  std::optional<ModelVersion> rejected_version;  ///< rolled back; not retried until the settings change
   std::uint32_t version_failures = 0;
   std::uint32_t failures = 0;  ///< consecutive failed loads
   std::optional<TimePoint> retry_at;
-  std::optional<Duration> usual_load;       ///< moving average of its load durations, over all tiers
+  std::optional<Duration> average_load;     ///< moving average of its load durations, over all tiers
   std::optional<TimePoint> eviction_until;  ///< how long to wait for the evictions of victims
   std::vector<SlotId> victims;              ///< replicas that are evicted to make room
   std::optional<TimePoint> prefetched_at;
@@ -52,7 +52,7 @@
   std::uint32_t ready_current = 0;  ///< ready replicas of the target version
   std::uint32_t leaving = 0;        ///< on draining engines or leaving machines
   std::uint32_t unreachable = 0;
-  std::uint32_t ending = 0;  ///< draining or unloading, or with such a change proposed
+  std::uint32_t being_removed = 0;  ///< draining or unloading, or with such a change proposed
   std::uint32_t usable() const { return ready + starting; }
 };
 
@@ -60,8 +60,8 @@
 struct ReplicaTarget {
   std::uint32_t demanded = 0;  ///< required by waiting and running requests
   std::uint32_t minimum = 0;   ///< required by the operator's settings
-  std::uint32_t want = 0;      ///< replicas below this number are loaded
-  std::uint32_t hold = 0;      ///< loaded replicas up to this number are kept; at least want
+  std::uint32_t required = 0;  ///< replicas below this number are loaded
+  std::uint32_t retained = 0;  ///< loaded replicas up to this number are kept; at least required
 };
 
 }  // namespace ferryrock::placement
--- a/src/placement/planner_adapters.cc
+++ b/src/placement/planner_adapters.cc
@@ -52,8 +52,8 @@
   std::uint32_t with = 0;
   std::uint32_t ready = 0;
   for (const SlotView* view : slots_.of(state.name)) {
-    const bool serves =
-        view->slot.state == wire::SlotState::Ready && isUsable(*view) && !proposals_.isEnding(view->slot.id);
+    const bool serves = view->slot.state == wire::SlotState::Ready && isUsable(*view) &&
+                        !proposals_.hasPendingState(view->slot.id);
     if (!serves) {
       continue;
     }
@@ -91,7 +91,7 @@
     return;
   }
   state.adapter_missing = true;
-  if (!makeAdapterRoom(without, now) && !giveBackNeighbour(without, now)) {
+  if (!makeAdapterRoom(without, now) && !evictNeighbour(without, now)) {
     state.adapter_blocked = true;
   }
 }
@@ -130,7 +130,7 @@
   return holder != nullptr;
 }
 
-bool PlannerImpl::giveBackNeighbour(const std::vector<const SlotView*>& slots, TimePoint now) {
+bool PlannerImpl::evictNeighbour(const std::vector<const SlotView*>& slots, TimePoint now) {
   const SlotView* least = nullptr;
   for (const SlotView* view : slots) {
     for (const SlotId id : ledger_.slotsOn(view->slot.engine)) {
@@ -138,12 +138,12 @@
       if (neighbour == nullptr || id == view->slot.id || !sharesAccelerator(view->slot, neighbour->slot)) {
         continue;
       }
-      if (neighbour->slot.state > wire::SlotState::Ready || proposals_.isEnding(id)) {
+      if (neighbour->slot.state > wire::SlotState::Ready || proposals_.hasPendingState(id)) {
         return true;
       }
-      const auto worth = evictable_worth_.find(id);
-      if (worth != evictable_worth_.end() &&
-          (least == nullptr || worth->second < evictable_worth_.at(least->slot.id))) {
+      const auto retention_value = retention_values_.find(id);
+      if (retention_value != retention_values_.end() &&
+          (least == nullptr || retention_value->second < retention_values_.at(least->slot.id))) {
         least = neighbour;
       }
     }
@@ -156,13 +156,13 @@
 }
 
 void PlannerImpl::moveForAdapters(ModelState& state, const ReplicaCounts& counts, TimePoint now) {
-  const bool in_transition = counts.starting + counts.pending + counts.ending > 0;
+  const bool in_transition = counts.starting + counts.pending + counts.being_removed > 0;
   const bool at_maximum = counts.total >= maximumOf(state);
   if (!state.adapter_blocked || in_transition || !at_maximum ||
       !placeShape(state, shapeWithAdapters(state), now)) {
     return;
   }
-  for (const SlotView* view : byUselessness(state)) {
+  for (const SlotView* view : inRemovalOrder(state)) {
     if (view->slot.state == wire::SlotState::Ready && isUsable(*view)) {
       proposeState(*view, wire::SlotState::Draining, now);
       return;
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -7,11 +7,11 @@
 namespace {
 
 /// The remaining time of an overdue load is estimated as its elapsed time divided by this.
-constexpr int kOverdueShare = 4;
+constexpr int kOverdueDivisor = 4;
 /// Expected time until a released replica has freed its memory.
-constexpr Duration kUnload = std::chrono::seconds(1);
+constexpr Duration kExpectedUnload = std::chrono::seconds(1);
 /// Expected load time of an adapter; no estimate is kept for adapters.
-constexpr Duration kAdapterLoad = std::chrono::milliseconds(500);
+constexpr Duration kExpectedAdapterLoad = std::chrono::milliseconds(500);
 
 std::string inSeconds(Duration duration) {
   const auto tenths = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count() / 100;
@@ -49,7 +49,7 @@
     const auto& adapters = view->slot.adapters;
     const bool has_adapter =
         !is_adapter || std::find(adapters.begin(), adapters.end(), name) != adapters.end();
-    const Duration adapter_load = has_adapter ? Duration::zero() : kAdapterLoad;
+    const Duration adapter_load = has_adapter ? Duration::zero() : kExpectedAdapterLoad;
     if (view->slot.state == wire::SlotState::Ready) {
       consider(adapter_load);
       continue;
@@ -59,7 +59,7 @@
         base_settings == nullptr ? 0 : base_settings->weight_bytes * base_settings->accelerators;
     const Duration elapsed = now - view->decided_at;
     const Duration left = expectedLoadFrom(view->tier, bytes, now) - elapsed;
-    consider(std::max(left, elapsed / kOverdueShare) + adapter_load);
+    consider(std::max(left, elapsed / kOverdueDivisor) + adapter_load);
   }
   if (soonest) {
     return soonest;
@@ -67,21 +67,21 @@
   if (state != nullptr && state->settings) {
     const ReplicaCounts counts = countReplicas(*state);
     const bool none_free = counts.total + counts.pending >= maximumOf(*state) && counts.pending == 0;
-    const bool at_maximum = none_free && counts.ending == 0;
+    const bool at_maximum = none_free && counts.being_removed == 0;
     const bool no_room = state->blocked_epoch == memory_epoch_ && !isRoomBeingMade(*state, now);
     if (at_maximum || no_room) {
       return std::nullopt;
     }
-    const Duration until_free = none_free ? kUnload : Duration::zero();
+    const Duration until_free = none_free ? kExpectedUnload : Duration::zero();
     const Duration until_retry =
         state->retry_at ? std::max(*state->retry_at - now, Duration::zero()) : Duration::zero();
     const Duration wait = std::max(until_free, until_retry);
     const auto queue = static_cast<double>(load_queue_.size());
-    const Duration turn = fromSeconds(queue / store_.rate());
+    const Duration queue_delay = fromSeconds(queue / store_.rate());
     const Duration load = expectedLoadOf(*state);
-    const bool near =
-        engines_.heldNear(base, CheckpointTier::Memory) || engines_.heldNear(base, CheckpointTier::Disk);
-    return wait + (near ? load : load + turn);
+    const bool on_local_tier = engines_.hasCheckpoint(base, CheckpointTier::Memory) ||
+                               engines_.hasCheckpoint(base, CheckpointTier::Disk);
+    return wait + (on_local_tier ? load : load + queue_delay);
   }
   const wire::ResolvedModel* base_settings = settingsOf(base);
   if (base_settings == nullptr || base_settings->max_replicas == 0) {
@@ -147,7 +147,7 @@
   }
   if (load_queue_.contains(state->name)) {
     const LoadCandidate& candidate = load_queue_.at(state->name);
-    reasons.push_back("A load has waited for " + inSeconds(now - candidate.wanted_since) + ", with " +
+    reasons.push_back("A load has waited for " + inSeconds(now - candidate.requested_since) + ", with " +
                       std::to_string(load_queue_.size()) + " models in the queue.");
     if (isLate(candidate, now)) {
       reasons.push_back("The load cannot end before the earliest deadline of the waiting requests.");
@@ -156,8 +156,8 @@
   if (!state->obstacle.empty()) {
     reasons.push_back("No further load begins: " + state->obstacle + ".");
   }
-  if (state->refused_version) {
-    reasons.push_back("Version " + state->refused_version->value +
+  if (state->rejected_version) {
+    reasons.push_back("Version " + state->rejected_version->value +
                       " was rolled back because its loads failed; change the settings to try again.");
   }
   if (store_.isSlow()) {
--- a/src/placement/planner_impl.cc
+++ b/src/placement/planner_impl.cc
@@ -8,11 +8,11 @@
 /// Maximum number of cached resolved settings; the cache is cleared when it is full.
 constexpr std::size_t kMaxCachedSettings = 65'536;
 /// Time for which requests that found no ready replica keep the model in demand, for requests that follow.
-constexpr Duration kInterest = std::chrono::seconds(60);
-constexpr Duration kFirstRetry = std::chrono::seconds(1);
+constexpr Duration kInterestDuration = std::chrono::seconds(60);
+constexpr Duration kInitialRetryDelay = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxRetryDoublings = 6;
 /// Window, in loads, of the moving average of a model's load duration.
-constexpr int kUsualLoads = 4;
+constexpr int kLoadAverageWindow = 4;
 /// Number of failed loads after which a new version is rolled back.
 constexpr std::uint32_t kFailuresToRollBack = 2;
 
@@ -81,15 +81,15 @@
 
 void PlannerImpl::onDemand(const wire::DemandReport& report, TimePoint now) {
   now_ = now;
-  takeChanges(demand_.apply(report, now), now);
+  applyDemandChanges(demand_.apply(report, now), now);
 }
 
 void PlannerImpl::onRouterGone(const NodeName& router, TimePoint now) {
   now_ = now;
-  takeChanges(demand_.removeRouter(router), now);
+  applyDemandChanges(demand_.removeRouter(router), now);
 }
 
-void PlannerImpl::takeChanges(const std::vector<DemandTable::Change>& changes, TimePoint now) {
+void PlannerImpl::applyDemandChanges(const std::vector<DemandTable::Change>& changes, TimePoint now) {
   for (const DemandTable::Change& change : changes) {
     ModelState& state = stateOf(change.base);
     const DemandFigures demand = demand_.ofBase(change.base);
@@ -99,7 +99,7 @@
       state.idle_since = std::nullopt;
     }
     if (change.used && !has_requests && countReplicas(state).ready == 0) {
-      state.interest_until = now + kInterest;
+      state.interest_until = now + kInterestDuration;
     }
     markDirty(change.base);
   }
@@ -150,16 +150,16 @@
   }
   ModelState& state = stateOf(view->slot.model);
   if (observation.succeeded) {
-    const Duration before = state.usual_load.value_or(observation.duration);
-    state.usual_load = before + (observation.duration - before) / kUsualLoads;
+    const Duration before = state.average_load.value_or(observation.duration);
+    state.average_load = before + (observation.duration - before) / kLoadAverageWindow;
     return;
   }
   const std::uint32_t doublings = std::min(state.failures, kMaxRetryDoublings);
   state.failures += 1;
-  state.retry_at = now + kFirstRetry * (1U << doublings);
+  state.retry_at = now + kInitialRetryDelay * (1U << doublings);
   const bool new_version = state.stable && view->slot.version != state.stable->version;
   if (new_version && ++state.version_failures >= kFailuresToRollBack) {
-    state.refused_version = view->slot.version;
+    state.rejected_version = view->slot.version;
   }
   if (view->slot.state <= wire::SlotState::Loading) {
     proposeState(*view, wire::SlotState::Unloading, now);
@@ -175,9 +175,9 @@
   }
   ModelState& state = stateOf(change.slot.model);
   if (change.kind == SlotChange::Kind::Added) {
-    if (const auto pending = proposals_.takeSlot(change.slot)) {
-      engines_.withdraw(pending->slot.engine, pending->slot.accelerators,
-                        pending->slot.bytes_per_accelerator);
+    if (const auto pending = proposals_.removeSlot(change.slot)) {
+      engines_.releaseMemory(pending->slot.engine, pending->slot.accelerators,
+                             pending->slot.bytes_per_accelerator);
       slots_.setTier(slot, pending->tier);
     }
   }
@@ -217,7 +217,7 @@
     const std::optional<ModelName> old_base =
         cached == settings_cache_.end() ? std::nullopt : std::optional<ModelName>(cached->second.base);
     settings_cache_.erase(name);
-    takeChanges(demand_.regroup(name), now);
+    applyDemandChanges(demand_.regroup(name), now);
     const wire::ResolvedModel* settings = settingsOf(name);
     if (old_base) {
       markDirty(*old_base);
@@ -231,7 +231,7 @@
         settings == nullptr || !state.settings || state.settings->version != settings->version;
     state.settings = settings == nullptr ? std::nullopt : std::optional<wire::ResolvedModel>(*settings);
     if (new_version) {
-      state.refused_version.reset();
+      state.rejected_version.reset();
       state.version_failures = 0;
       state.retry_at.reset();
     }
@@ -268,9 +268,9 @@
 void PlannerImpl::onProposalRefused(const wire::Command& command, TimePoint now) {
   now_ = now;
   if (const auto* decide = std::get_if<wire::DecideSlotCommand>(&command)) {
-    if (const auto pending = proposals_.takeSlot(decide->slot)) {
-      engines_.withdraw(pending->slot.engine, pending->slot.accelerators,
-                        pending->slot.bytes_per_accelerator);
+    if (const auto pending = proposals_.removeSlot(decide->slot)) {
+      engines_.releaseMemory(pending->slot.engine, pending->slot.accelerators,
+                             pending->slot.bytes_per_accelerator);
     }
     engines_.refresh(decide->slot.engine);
     memoryChanged();
@@ -297,10 +297,11 @@
   }
   const ProposalTable::Expired expired = proposals_.expire(now);
   for (const PendingSlot& pending : expired.decisions) {
-    engines_.withdraw(pending.slot.engine, pending.slot.accelerators, pending.slot.bytes_per_accelerator);
+    engines_.releaseMemory(pending.slot.engine, pending.slot.accelerators,
+                           pending.slot.bytes_per_accelerator);
     markDirty(pending.slot.model);
   }
-  for (const SlotId slot : expired.touched) {
+  for (const SlotId slot : expired.affected_slots) {
     if (const SlotView* view = slots_.find(slot)) {
       markDirty(view->slot.model);
     }
@@ -310,9 +311,9 @@
   }
 }
 
-void PlannerImpl::takeOutDue(TimePoint now) {
+void PlannerImpl::processExpirations(TimePoint now) {
   expireProposals(now);
-  takeChanges(demand_.expire(now), now);
+  applyDemandChanges(demand_.expire(now), now);
   while (const auto model = checks_.popDue(now)) {
     markDirty(*model);
   }
@@ -321,7 +322,7 @@
 PlannerEffects PlannerImpl::plan(TimePoint now) {
   now_ = now;
   planned_at_ = now;
-  takeOutDue(now);
+  processExpirations(now);
   while (!dirty_.empty()) {
     const ModelName name = *dirty_.begin();
     dirty_.erase(dirty_.begin());
@@ -348,8 +349,8 @@
   consider(proposals_.nextExpiry());
   consider(demand_.nextExpiry());
   if (!load_queue_.empty()) {
-    constexpr Duration kQueueCheck = std::chrono::seconds(1);
-    consider(planned_at_ + kQueueCheck);
+    constexpr Duration kQueueRetryInterval = std::chrono::seconds(1);
+    consider(planned_at_ + kQueueRetryInterval);
     if (store_.nextBegin() > planned_at_) {
       consider(store_.nextBegin());
     }
--- a/src/placement/planner_impl.h
+++ b/src/placement/planner_impl.h
@@ -58,14 +58,14 @@
   const wire::ResolvedModel* settingsOf(const ModelName& name) const;
   ModelState& stateOf(const ModelName& base);
   const ModelState* findState(const ModelName& base) const;
-  void takeChanges(const std::vector<DemandTable::Change>& changes, TimePoint now);
+  void applyDemandChanges(const std::vector<DemandTable::Change>& changes, TimePoint now);
   void refreshEngineSlots(const EngineName& engine, TimePoint now);
   void markDirty(const ModelName& base) { dirty_.insert(base); }
   void markSlotsOnDirty(const EngineName& engine);
   void memoryChanged();
   void onSlotReady(ModelState& state, const wire::Slot& slot);
   void expireProposals(TimePoint now);
-  void takeOutDue(TimePoint now);
+  void processExpirations(TimePoint now);
 
   // planner_reconcile.cc
   void reconcile(ModelState& state, TimePoint now);
@@ -76,7 +76,8 @@
   std::uint32_t idleReplicas(const ModelState& state, TimePoint now) const;
   void requestLoads(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
                     const DemandFigures& demand, TimePoint now);
-  void giveBack(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target, TimePoint now);
+  void releaseSurplus(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
+                      TimePoint now);
   void drainLeaving(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
                     TimePoint now);
   void advanceRollout(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
@@ -84,7 +85,7 @@
   bool fitsInsteadOf(const ModelState& state, const SlotView& old) const;
   void updateEvictable(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target);
   void scheduleCheck(ModelState& state, TimePoint now);
-  std::vector<const SlotView*> byUselessness(const ModelState& state) const;
+  std::vector<const SlotView*> inRemovalOrder(const ModelState& state) const;
   bool proposeState(const SlotView& view, wire::SlotState state, TimePoint now);
   StableVersion wantedVersion(const ModelState& state) const;
   bool isUsable(const SlotView& view) const;
@@ -116,7 +117,7 @@
   void reconcileAdapter(ModelState& state, const ModelName& adapter, TimePoint now);
   bool fitsAdapter(const wire::Slot& slot, std::uint64_t bytes) const;
   bool makeAdapterRoom(const std::vector<const SlotView*>& slots, TimePoint now);
-  bool giveBackNeighbour(const std::vector<const SlotView*>& slots, TimePoint now);
+  bool evictNeighbour(const std::vector<const SlotView*>& slots, TimePoint now);
   std::uint64_t demandedAdapterBytes(const ModelState& state) const;
   ReplicaShape shapeWithAdapters(const ModelState& state) const;
   void moveForAdapters(ModelState& state, const ReplicaCounts& counts, TimePoint now);
@@ -135,7 +136,7 @@
   std::set<ModelName> dirty_;
   TimerQueue<ModelName> checks_;
   std::set<std::pair<double, SlotId>> evictable_;  ///< idle replicas by retention value
-  std::map<SlotId, double> evictable_worth_;
+  std::map<SlotId, double> retention_values_;
   std::map<std::pair<SlotId, ModelName>, TimePoint> adapter_last_use_;
   std::map<std::pair<SlotId, ModelName>, TimePoint> adapter_unloads_;  ///< time of the last unload order
   std::uint64_t memory_epoch_ = 1;
--- a/src/placement/planner_loads.cc
+++ b/src/placement/planner_loads.cc
@@ -10,11 +10,11 @@
 /// Maximum number of eviction candidates examined to make room, in ascending order of retention value.
 constexpr std::size_t kEvictionProbes = 64;
 /// Every queued load is retried at least at this interval.
-constexpr Duration kQueueCheck = std::chrono::seconds(1);
+constexpr Duration kQueueRetryInterval = std::chrono::seconds(1);
 /// Time to wait for replicas that are being evicted before others are evicted instead.
 constexpr Duration kEvictionWait = std::chrono::seconds(30);
 constexpr Duration kPrefetchInterval = std::chrono::seconds(10);
-constexpr Duration kPrefetchAgain = std::chrono::minutes(30);
+constexpr Duration kPrefetchCooldown = std::chrono::minutes(30);
 constexpr std::size_t kPrefetchProbes = 8;
 /// A running load that exceeds its expected duration by this factor indicates a slow weight store.
 constexpr double kOverdueFactor = 1.5;
@@ -42,12 +42,12 @@
   IdleModel model;
   model.model = state.name;
   model.idle_since = state.idle_since.value_or(now_);
-  model.expected_load = state.usual_load.value_or(expectedLoadOf(state));
+  model.expected_load = state.average_load.value_or(expectedLoadOf(state));
   if (state.settings) {
     model.cold_start_weight = state.settings->cold_start_weight;
     model.accelerators = heldAccelerators(*state.settings);
-    model.shortest_keep = std::chrono::milliseconds(state.settings->keep_alive_min_ms);
-    model.longest_keep = std::chrono::milliseconds(state.settings->keep_alive_max_ms);
+    model.min_keep_alive = std::chrono::milliseconds(state.settings->keep_alive_min_ms);
+    model.max_keep_alive = std::chrono::milliseconds(state.settings->keep_alive_max_ms);
   }
   return model;
 }
@@ -56,9 +56,10 @@
   if (!state.settings) {
     return Duration::zero();
   }
-  const CheckpointTier tier = engines_.heldNear(state.name, CheckpointTier::Memory) ? CheckpointTier::Memory
-                              : engines_.heldNear(state.name, CheckpointTier::Disk) ? CheckpointTier::Disk
-                                                                                    : CheckpointTier::Remote;
+  const CheckpointTier tier =
+      engines_.hasCheckpoint(state.name, CheckpointTier::Memory) ? CheckpointTier::Memory
+      : engines_.hasCheckpoint(state.name, CheckpointTier::Disk) ? CheckpointTier::Disk
+                                                                 : CheckpointTier::Remote;
   return expectedLoadFrom(tier, checkpointBytes(*state.settings), now_);
 }
 
@@ -98,7 +99,7 @@
     return;
   }
   const bool all =
-      loads_due_ || now - queue_tried_at_ >= kQueueCheck || store_.mayBegin(remoteInFlight(), now);
+      loads_due_ || now - queue_tried_at_ >= kQueueRetryInterval || store_.mayBegin(remoteInFlight(), now);
   loads_due_ = false;
   if (all) {
     queue_tried_at_ = now;
@@ -140,12 +141,12 @@
 void PlannerImpl::tryLoads(const std::vector<ModelName>& order, TimePoint now) {
   bool store_busy = false;
   for (const ModelName& name : order) {
-    const bool near =
-        engines_.heldNear(name, CheckpointTier::Memory) || engines_.heldNear(name, CheckpointTier::Disk);
-    if (store_busy && !near) {
+    const bool on_local_tier = engines_.hasCheckpoint(name, CheckpointTier::Memory) ||
+                               engines_.hasCheckpoint(name, CheckpointTier::Disk);
+    if (store_busy && !on_local_tier) {
       continue;
     }
-    const bool place_known = !near && models_.at(name).placeable_epoch == memory_epoch_;
+    const bool place_known = !on_local_tier && models_.at(name).placeable_epoch == memory_epoch_;
     if (place_known && !store_.mayBegin(remoteInFlight(), now)) {
       store_busy = true;
       continue;
@@ -185,8 +186,8 @@
 
 std::optional<PlannerImpl::Placement> PlannerImpl::place(const ModelState& state, TimePoint now) const {
   const std::optional<Placement> placement = placeShape(state, shapeWithAdapters(state), now);
-  const bool only_adapters_fit = state.adapter_blocked;
-  return placement || only_adapters_fit ? placement : placeShape(state, wantedVersion(state).shape, now);
+  const bool adapters_required = state.adapter_blocked;
+  return placement || adapters_required ? placement : placeShape(state, wantedVersion(state).shape, now);
 }
 
 std::optional<PlannerImpl::Placement> PlannerImpl::placeShape(const ModelState& state,
@@ -244,17 +245,17 @@
   const std::vector<std::string>& zones = state.settings->zones;
   std::map<EngineName, std::vector<std::pair<double, SlotId>>> by_engine;
   std::size_t probes = 0;
-  for (const auto& [worth, slot] : evictable_) {
+  for (const auto& [retention_value, slot] : evictable_) {
     const SlotView* view = slots_.find(slot);
-    if (view != nullptr && view->slot.model != state.name && !proposals_.isEnding(slot)) {
-      by_engine[view->slot.engine].emplace_back(worth, slot);
+    if (view != nullptr && view->slot.model != state.name && !proposals_.hasPendingState(slot)) {
+      by_engine[view->slot.engine].emplace_back(retention_value, slot);
     }
     if (++probes == kEvictionProbes) {
       break;
     }
   }
   std::vector<SlotId> best;
-  double best_worth = std::numeric_limits<double>::infinity();
+  double lowest_retention_value = std::numeric_limits<double>::infinity();
   for (const auto& [name, victims] : by_engine) {
     const EngineView* engine = engines_.find(name);
     const bool zone_allowed =
@@ -265,21 +266,21 @@
     }
     std::vector<std::uint64_t> free_bytes = engine->free_bytes;
     std::vector<SlotId> chosen;
-    double worth_sum = 0;
-    for (const auto& [worth, id] : victims) {
+    double retention_value_sum = 0;
+    for (const auto& [retention_value, id] : victims) {
       const wire::Slot& slot = slots_.find(id)->slot;
       for (const std::uint32_t accelerator : slot.accelerators) {
         free_bytes[accelerator] += slot.bytes_per_accelerator + slot.adapter_bytes;
       }
       chosen.push_back(id);
-      worth_sum += worth;
+      retention_value_sum += retention_value;
       if (!EngineIndex::chooseAccelerators(free_bytes, shape).empty()) {
         break;
       }
     }
     const bool suffices = !EngineIndex::chooseAccelerators(free_bytes, shape).empty();
-    if (suffices && worth_sum < best_worth) {
-      best_worth = worth_sum;
+    if (suffices && retention_value_sum < lowest_retention_value) {
+      lowest_retention_value = retention_value_sum;
       best = chosen;
     }
   }
@@ -310,7 +311,7 @@
   slot.incarnation = engines_.find(placement.engine)->record.incarnation;
   slot.accelerators = placement.accelerators;
   slot.bytes_per_accelerator = version.shape.bytes_per_accelerator;
-  engines_.promise(slot.engine, slot.accelerators, slot.bytes_per_accelerator);
+  engines_.reserveMemory(slot.engine, slot.accelerators, slot.bytes_per_accelerator);
   proposals_.addSlot({slot, placement.tier, now + kProposalLifetime});
   if (placement.tier == CheckpointTier::Remote) {
     store_.onBegun(now);
@@ -342,9 +343,10 @@
     entry = entry == models_.end() ? models_.begin() : entry;
     ModelState& state = entry->second;
     prefetch_cursor_ = state.name;
-    const bool lately = state.prefetched_at && now - *state.prefetched_at < kPrefetchAgain;
+    const bool recently_prefetched = state.prefetched_at && now - *state.prefetched_at < kPrefetchCooldown;
     const bool used = state.active || state.idle_since;
-    if (!state.settings || lately || !used || engines_.heldNear(state.name, CheckpointTier::Disk)) {
+    if (!state.settings || recently_prefetched || !used ||
+        engines_.hasCheckpoint(state.name, CheckpointTier::Disk)) {
       continue;
     }
     if (const auto engine = engines_.prefetchTarget(state.name, CheckpointTier::Disk)) {
--- a/src/placement/planner_reconcile.cc
+++ b/src/placement/planner_reconcile.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// A replica on a leaving machine is drained at the latest this long before the machine leaves.
-constexpr Duration kLastMoment = std::chrono::seconds(10);
+constexpr Duration kLeaveDrainMargin = std::chrono::seconds(10);
 /// Interval at which adapters are reconsidered while room for them is being made.
-constexpr Duration kRetryCheck = std::chrono::milliseconds(250);
+constexpr Duration kAdapterRetryInterval = std::chrono::milliseconds(250);
 
 bool hasRequests(const DemandFigures& demand) {
   return demand.waiting + demand.running > 0;
@@ -24,7 +24,7 @@
   const ReplicaTarget target = targetOf(state, demand, now);
   requestLoads(state, counts, target, demand, now);
   advanceRollout(state, counts, target, now);
-  giveBack(state, counts, target, now);
+  releaseSurplus(state, counts, target, now);
   drainLeaving(state, counts, target, now);
   moveForAdapters(state, counts, now);
   reconcileAdapters(state, now);
@@ -63,8 +63,8 @@
   for (const SlotView* view : slots_.of(state.name)) {
     counts.total += 1;
     const EngineView* engine = engines_.find(view->slot.engine);
-    if (view->slot.state > wire::SlotState::Ready || proposals_.isEnding(view->slot.id)) {
-      counts.ending += 1;
+    if (view->slot.state > wire::SlotState::Ready || proposals_.hasPendingState(view->slot.id)) {
+      counts.being_removed += 1;
     } else if (engine == nullptr || !engine->reachable) {
       counts.unreachable += 1;
     } else if (!engine->usable()) {
@@ -107,33 +107,34 @@
         std::clamp(policies_.replica_count->wanted(demand, settings), 1U, std::max(1U, maximum));
   }
   target.minimum = std::min(settings.min_replicas, maximum);
-  target.want = std::max({target.demanded, target.minimum, policies_.keep_alive->minimumReplicas(settings)});
+  target.required =
+      std::max({target.demanded, target.minimum, policies_.keep_alive->minimumReplicas(settings)});
   const auto& prewarm = state.idle_decision.prewarm;
   const bool prewarm_now = state.idle_since && prewarm && now - *state.idle_since >= prewarm->begin &&
                            now - *state.idle_since < prewarm->end;
   const bool interest = state.interest_until && now < *state.interest_until;
   if (prewarm_now || interest) {
-    target.want = std::max(target.want, 1U);
+    target.required = std::max(target.required, 1U);
   }
   if (state.adapter_blocked) {
     target.demanded += 1;
-    target.want = std::max(target.want, target.demanded);
+    target.required = std::max(target.required, target.demanded);
   }
   target.demanded = std::min(target.demanded, std::max(1U, maximum));
-  target.want = std::min(target.want, maximum);
+  target.required = std::min(target.required, maximum);
 
   if (state.last_needed.size() < target.demanded) {
     state.last_needed.resize(target.demanded);
   }
   std::fill_n(state.last_needed.begin(), target.demanded, now);
-  const Duration surplus_keep = policies_.keep_alive->surplusKeep(idleModel(state));
-  while (state.last_needed.size() > 1 && now - state.last_needed.back() >= surplus_keep &&
+  const Duration surplus_keep_alive = policies_.keep_alive->surplusKeepAlive(idleModel(state));
+  while (state.last_needed.size() > 1 && now - state.last_needed.back() >= surplus_keep_alive &&
          state.last_needed.size() > target.demanded) {
     state.last_needed.pop_back();
   }
   const auto recently =
       state.last_needed.size() > 1 ? static_cast<std::uint32_t>(state.last_needed.size()) : 0U;
-  target.hold = std::min(std::max({target.want, recently, idleReplicas(state, now)}), maximum);
+  target.retained = std::min(std::max({target.required, recently, idleReplicas(state, now)}), maximum);
   return target;
 }
 
@@ -141,7 +142,7 @@
                                const DemandFigures& demand, TimePoint now) {
   state.obstacle.clear();
   const std::uint32_t have = counts.usable() + counts.pending;
-  if (have >= target.want) {
+  if (have >= target.required) {
     load_queue_.erase(state.name);
     return;
   }
@@ -170,7 +171,7 @@
   candidate.priority = state.settings->priority;
   if (!queued || more_urgent) {
     state.blocked_epoch = 0;
-    candidate.wanted_since = now;
+    candidate.requested_since = now;
     fresh_loads_.push_back(state.name);
   }
 }
@@ -179,17 +180,17 @@
   if (!state.settings) {
     return state.stable.value_or(StableVersion{});
   }
-  if (state.refused_version == state.settings->version && state.stable) {
+  if (state.rejected_version == state.settings->version && state.stable) {
     return *state.stable;
   }
   return {state.settings->version,
           {state.settings->accelerators, state.settings->weight_bytes + state.settings->cache_reserve_bytes}};
 }
 
-std::vector<const SlotView*> PlannerImpl::byUselessness(const ModelState& state) const {
+std::vector<const SlotView*> PlannerImpl::inRemovalOrder(const ModelState& state) const {
   std::vector<const SlotView*> views = slots_.of(state.name);
   std::erase_if(views, [this](const SlotView* view) {
-    return view->slot.state > wire::SlotState::Ready || proposals_.isEnding(view->slot.id);
+    return view->slot.state > wire::SlotState::Ready || proposals_.hasPendingState(view->slot.id);
   });
   const ModelVersion version = wantedVersion(state).version;
   std::map<ZoneName, std::uint32_t> in_zone;
@@ -219,16 +220,16 @@
   return true;
 }
 
-void PlannerImpl::giveBack(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
-                           TimePoint now) {
+void PlannerImpl::releaseSurplus(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
+                                 TimePoint now) {
   const std::uint32_t maximum = maximumOf(state);
-  const std::uint32_t alive = counts.total - counts.ending;
+  const std::uint32_t alive = counts.total - counts.being_removed;
   std::uint32_t over_maximum = alive > maximum ? alive - maximum : 0;
-  std::uint32_t surplus = counts.ready > target.hold ? counts.ready - target.hold : 0;
+  std::uint32_t surplus = counts.ready > target.retained ? counts.ready - target.retained : 0;
   if (over_maximum + surplus == 0) {
     return;
   }
-  for (const SlotView* view : byUselessness(state)) {
+  for (const SlotView* view : inRemovalOrder(state)) {
     const bool ready = view->slot.state == wire::SlotState::Ready;
     if (over_maximum > 0) {
       proposeState(*view, wire::SlotState::Draining, now);
@@ -246,22 +247,22 @@
   if (counts.leaving == 0) {
     return;
   }
-  const bool replaced = counts.ready >= std::max(target.want, state.active ? 1U : 0U);
-  const bool at_maximum = counts.total + counts.pending >= maximumOf(state) && counts.ending == 0;
+  const bool replaced = counts.ready >= std::max(target.required, state.active ? 1U : 0U);
+  const bool at_maximum = counts.total + counts.pending >= maximumOf(state) && counts.being_removed == 0;
   const bool no_room = load_queue_.contains(state.name) && state.blocked_epoch == memory_epoch_ &&
                        !isRoomBeingMade(state, now);
   std::uint32_t held = counts.ready + counts.leaving;
   bool freed_one = false;
-  for (const SlotView* view : byUselessness(state)) {
+  for (const SlotView* view : inRemovalOrder(state)) {
     const EngineView* engine = engines_.find(view->slot.engine);
     if (engine == nullptr || !engine->reachable || engine->usable()) {
       continue;
     }
-    const bool last_moment = engine->leaves_at && *engine->leaves_at - now <= kLastMoment;
+    const bool leaves_soon = engine->leaves_at && *engine->leaves_at - now <= kLeaveDrainMargin;
     const bool still_loading = view->slot.state != wire::SlotState::Ready;
     const bool make_space = at_maximum && !freed_one && counts.starting == 0;
     const bool idle_without_room = no_room && held > target.demanded;
-    if (replaced || last_moment || still_loading || make_space || idle_without_room) {
+    if (replaced || leaves_soon || still_loading || make_space || idle_without_room) {
       proposeState(*view, wire::SlotState::Draining, now);
       held -= 1;
       freed_one = true;
@@ -272,11 +273,11 @@
 void PlannerImpl::advanceRollout(ModelState& state, const ReplicaCounts& counts, const ReplicaTarget& target,
                                  TimePoint now) {
   const bool in_transition =
-      counts.starting + counts.pending + counts.ending > 0 || load_queue_.contains(state.name);
-  if (!state.settings || counts.ready == counts.ready_current || in_transition || target.hold == 0) {
+      counts.starting + counts.pending + counts.being_removed > 0 || load_queue_.contains(state.name);
+  if (!state.settings || counts.ready == counts.ready_current || in_transition || target.retained == 0) {
     return;
   }
-  if (counts.ready > target.hold || (state.retry_at && now < *state.retry_at)) {
+  if (counts.ready > target.retained || (state.retry_at && now < *state.retry_at)) {
     return;
   }
   if (counts.total < maximumOf(state)) {
@@ -293,7 +294,7 @@
     return;
   }
   const ModelVersion version = wantedVersion(state).version;
-  for (const SlotView* view : byUselessness(state)) {
+  for (const SlotView* view : inRemovalOrder(state)) {
     if (view->slot.version != version && isUsable(*view) && fitsInsteadOf(state, *view)) {
       proposeState(*view, wire::SlotState::Draining, now);
       return;
@@ -321,23 +322,23 @@
   std::set<SlotId> before;
   before.swap(state.evictable);
   for (const SlotId slot : before) {
-    evictable_.erase({evictable_worth_.at(slot), slot});
-    evictable_worth_.erase(slot);
+    evictable_.erase({retention_values_.at(slot), slot});
+    retention_values_.erase(slot);
   }
   const std::uint32_t needed = std::max(target.demanded, target.minimum);
   std::uint32_t spare = counts.ready > needed ? counts.ready - needed : 0;
   if (spare == 0) {
     return;
   }
-  const double worth = policies_.keep_alive->worth(idleModel(state), now_);
-  for (const SlotView* view : byUselessness(state)) {
+  const double retention_value = policies_.keep_alive->retentionValue(idleModel(state), now_);
+  for (const SlotView* view : inRemovalOrder(state)) {
     if (spare == 0) {
       break;
     }
     if (view->slot.state == wire::SlotState::Ready && isUsable(*view)) {
       state.evictable.insert(view->slot.id);
-      evictable_worth_[view->slot.id] = worth;
-      evictable_.insert({worth, view->slot.id});
+      retention_values_[view->slot.id] = retention_value;
+      evictable_.insert({retention_value, view->slot.id});
       spare -= 1;
     }
   }
@@ -363,7 +364,7 @@
     }
   }
   if (state.last_needed.size() > 1) {
-    consider(state.last_needed.back() + policies_.keep_alive->surplusKeep(idleModel(state)));
+    consider(state.last_needed.back() + policies_.keep_alive->surplusKeepAlive(idleModel(state)));
   }
   for (const auto& time : {state.interest_until, state.retry_at, state.eviction_until}) {
     if (time) {
@@ -371,15 +372,15 @@
     }
   }
   if (state.adapter_missing) {
-    consider(now + kRetryCheck);
+    consider(now + kAdapterRetryInterval);
   }
   for (const SlotView* view : slots_.of(state.name)) {
     const EngineView* engine = engines_.find(view->slot.engine);
     if (engine != nullptr && engine->leaves_at && view->slot.state <= wire::SlotState::Ready) {
-      consider(*engine->leaves_at - kLastMoment);
+      consider(*engine->leaves_at - kLeaveDrainMargin);
     }
     if (!adapter_unloads_.empty() && !view->slot.adapters.empty() && state.active) {
-      consider(now + kRetryCheck);
+      consider(now + kAdapterRetryInterval);
     }
   }
   checks_.set(state.name, next);
--- a/src/placement/policies.h
+++ b/src/placement/policies.h
@@ -37,7 +37,7 @@
 struct LoadCandidate {
   ModelName name;  ///< base model or adapter
   LoadReason reason = LoadReason::Demand;
-  TimePoint wanted_since{};
+  TimePoint requested_since{};
   std::uint32_t waiting = 0;  ///< waiting requests of all routers
   std::optional<TimePoint> earliest_deadline;
   Duration expected_load{};
@@ -71,10 +71,10 @@
 struct IdleModel {
   ModelName model;
   double cold_start_weight = 0.5;
-  double accelerators = 1;   ///< of one replica, each weighted by the share of its memory that is held
-  Duration expected_load{};  ///< of the next load if the replica were released
-  Duration shortest_keep{};  ///< the operator's bounds
-  Duration longest_keep{};
+  double accelerators = 1;    ///< of one replica, each weighted by the share of its memory that is held
+  Duration expected_load{};   ///< of the next load if the replica were released
+  Duration min_keep_alive{};  ///< the operator's bounds
+  Duration max_keep_alive{};
   TimePoint idle_since{};
 };
 
@@ -97,10 +97,10 @@
   virtual void onGap(const ModelName& model, Duration gap, TimePoint idle_since) = 0;
   virtual KeepAliveDecision decide(const IdleModel& model) = 0;
   /// How long replicas beyond the first are kept after they were last needed.
-  virtual Duration surplusKeep(const IdleModel& model) const = 0;
+  virtual Duration surplusKeepAlive(const IdleModel& model) const = 0;
   /// Retention value of an idle replica per accelerator that it holds; the replica with the lowest value is
   /// evicted first.
-  virtual double worth(const IdleModel& model, TimePoint now) = 0;
+  virtual double retentionValue(const IdleModel& model, TimePoint now) = 0;
   /// Replicas that are kept without demand.
   virtual std::uint32_t minimumReplicas(const wire::ResolvedModel& settings) const {
     return settings.min_replicas;
--- a/src/placement/proposal_table.cc
+++ b/src/placement/proposal_table.cc
@@ -21,7 +21,7 @@
   slots_.push_back(std::move(pending));
 }
 
-std::optional<PendingSlot> ProposalTable::takeSlot(const wire::Slot& slot) {
+std::optional<PendingSlot> ProposalTable::removeSlot(const wire::Slot& slot) {
   const auto entry = std::find_if(slots_.begin(), slots_.end(), [&](const PendingSlot& pending) {
     return sameDecision(pending.slot, slot);
   });
@@ -71,14 +71,14 @@
   std::erase_if(states_, [&](const auto& entry) {
     const bool is_expired = entry.second.expiry <= now;
     if (is_expired) {
-      expired.touched.push_back(entry.first);
+      expired.affected_slots.push_back(entry.first);
     }
     return is_expired;
   });
   std::erase_if(adapters_, [&](const auto& entry) {
     const bool is_expired = entry.second <= now;
     if (is_expired) {
-      expired.touched.push_back(entry.first.first);
+      expired.affected_slots.push_back(entry.first.first);
     }
     return is_expired;
   });
--- a/src/placement/proposal_table.h
+++ b/src/placement/proposal_table.h
@@ -26,7 +26,7 @@
  public:
   void addSlot(PendingSlot pending);
   /// Removes and returns the proposal of this slot, which has been committed or rejected.
-  std::optional<PendingSlot> takeSlot(const wire::Slot& slot);
+  std::optional<PendingSlot> removeSlot(const wire::Slot& slot);
   std::uint32_t slotsOf(const ModelName& model) const;
   std::uint32_t remoteSlots() const { return remote_slots_; }
   /// All open slot proposals of a model.
@@ -34,7 +34,7 @@
 
   /// Returns false if a proposal of the same or a later state is already open.
   bool addState(SlotId slot, wire::SlotState state, TimePoint now);
-  bool isEnding(SlotId slot) const { return states_.contains(slot); }
+  bool hasPendingState(SlotId slot) const { return states_.contains(slot); }
   void clearState(SlotId slot) { states_.erase(slot); }
 
   bool addAdapter(SlotId slot, const ModelName& adapter, TimePoint now);
@@ -44,7 +44,7 @@
   /// Proposals that expire() removed.
   struct Expired {
     std::vector<PendingSlot> decisions;
-    std::vector<SlotId> touched;  ///< slots with an expired change of state or adapters
+    std::vector<SlotId> affected_slots;  ///< slots with an expired change of state or adapters
   };
   Expired expire(TimePoint now);
   std::optional<TimePoint> nextExpiry() const;
--- a/src/placement/store_estimator.cc
+++ b/src/placement/store_estimator.cc
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr double kInitialRate = 2;
-constexpr double kLowestRate = 0.05;
-constexpr double kHighestRate = 200;
+constexpr double kMinRate = 0.05;
+constexpr double kMaxRate = 200;
 constexpr double kInitialWidth = 8;
-constexpr double kLowestWidth = 1;
-constexpr double kHighestWidth = 500;
+constexpr double kMinWidth = 1;
+constexpr double kMaxWidth = 500;
 /// Seconds per byte before the first observation: memory, disk, peer, weight store.
 constexpr std::array<double, 4> kInitialSecondsPerByte = {1 / 20e9, 1 / 6e9, 1 / 8e9, 1 / 4e9};
 /// Time that a load takes in addition to the transfer, for allocation and warm-up.
 constexpr double kInitialFixedSeconds = 0.5;
-constexpr double kLearningShare = 0.2;
+constexpr double kSmoothingFactor = 0.2;
 /// Loads that take up to this multiple of the expected duration count as full speed.
 constexpr double kFullSpeedTolerance = 1.2;
 constexpr double kCrowdedSlowdown = 1.3;
@@ -27,17 +27,17 @@
 /// Total seconds of load time that may begin at once before a load has been timed: 4 loads of 6 s, 40 of 0.6
 /// s, or one of 16 s. A store of width 1 completes any of these within this time; four loads of 16 s that
 /// share it would all end after 64 s, beyond any caller's timeout.
-constexpr double kFirstLoadSeconds = 24;
+constexpr double kInitialLoadSeconds = 24;
 /// Until a timed load is slowed down by others, each load that ends at full speed at the width limit raises
 /// the width: by 1 for loads of this duration, and by more for shorter loads, to which an excessive width
 /// costs less.
 constexpr double kProbeLoadSeconds = 6;
-constexpr double kWidestProbe = 8;
+constexpr double kMaxFastProbe = 8;
 /// A single timed load reduces the width at most to this share, because its replica may be slow for other
 /// reasons.
-constexpr double kDeepestCut = 0.6;
+constexpr double kMinCutShare = 0.6;
 /// Share by which the best speed decays towards the current speed with each load.
-constexpr double kBestFade = 0.005;
+constexpr double kBestSpeedDecay = 0.005;
 
 }  // namespace
 
@@ -59,12 +59,12 @@
 void StoreEstimator::expectLoad(Duration nominal) {
   if (!timed_ && nominal > longest_expected_) {
     longest_expected_ = nominal;
-    width_ = std::clamp(kFirstLoadSeconds / toSeconds(nominal), kLowestWidth, kHighestWidth);
+    width_ = std::clamp(kInitialLoadSeconds / toSeconds(nominal), kMinWidth, kMaxWidth);
   }
 }
 
 bool StoreEstimator::hasRoom(std::uint32_t in_flight) const {
-  return in_flight + 1 <= std::max(kLowestWidth, std::floor(width_));
+  return in_flight + 1 <= std::max(kMinWidth, std::floor(width_));
 }
 
 bool StoreEstimator::mayBegin(std::uint32_t in_flight, TimePoint now) const {
@@ -96,7 +96,7 @@
   const bool crowded =
       observation.tier == CheckpointTier::Remote && observation.concurrent_remote_loads > width_;
   const double share =
-      speed.observations == 0 ? 1 : (crowded && slowdown > 1 ? kLearningShare / 4 : kLearningShare);
+      speed.observations == 0 ? 1 : (crowded && slowdown > 1 ? kSmoothingFactor / 4 : kSmoothingFactor);
   speed.seconds_per_byte += share * (observed - speed.seconds_per_byte);
   speed.observations += 1;
   if (observation.tier != CheckpointTier::Remote) {
@@ -105,16 +105,16 @@
   if (best_seconds_per_byte_ == 0 || observed < best_seconds_per_byte_) {
     best_seconds_per_byte_ = observed;
   }
-  best_seconds_per_byte_ += kBestFade * (speed.seconds_per_byte - best_seconds_per_byte_);
+  best_seconds_per_byte_ += kBestSpeedDecay * (speed.seconds_per_byte - best_seconds_per_byte_);
 }
 
 void StoreEstimator::learnWidth(const LoadObservation& observation, double slowdown) {
   const double concurrent = observation.concurrent_remote_loads;
   const bool at_limit = concurrent + 1 >= std::floor(width_);
   if (at_limit && slowdown < kFullSpeedTolerance) {
-    width_ = std::min(width_ + kWidthProbe, kHighestWidth);
+    width_ = std::min(width_ + kWidthProbe, kMaxWidth);
   } else if (concurrent >= 2 && slowdown > kCrowdedSlowdown) {
-    width_ = std::max(std::min(width_, std::max(concurrent, width_ * kWidthCut)) * kWidthCut, kLowestWidth);
+    width_ = std::max(std::min(width_, std::max(concurrent, width_ * kWidthCut)) * kWidthCut, kMinWidth);
   }
 }
 
@@ -126,12 +126,12 @@
   const double slowdown = toSeconds(load.duration) / nominal;
   const bool at_limit = load.concurrent + 1 >= std::floor(width_);
   if (load.ended && at_limit && slowdown < kFullSpeedTolerance) {
-    const double fast_probe = std::clamp(kProbeLoadSeconds / nominal, 1.0, kWidestProbe);
-    width_ = std::min(width_ + (probing_fast_ ? fast_probe : kWidthProbe), kHighestWidth);
+    const double fast_probe = std::clamp(kProbeLoadSeconds / nominal, 1.0, kMaxFastProbe);
+    width_ = std::min(width_ + (probing_fast_ ? fast_probe : kWidthProbe), kMaxWidth);
     timed_ = true;
   } else if (load.concurrent >= 2 && slowdown > kCrowdedSlowdown) {
-    const double shown = std::max(load.concurrent / slowdown, width_ * kDeepestCut);
-    width_ = std::max(std::min(width_, shown), kLowestWidth);
+    const double estimated_width = std::max(load.concurrent / slowdown, width_ * kMinCutShare);
+    width_ = std::max(std::min(width_, estimated_width), kMinWidth);
     probing_fast_ = false;
     timed_ = true;
   }
@@ -142,9 +142,9 @@
   const double extra = toSeconds(observation.duration) - expected;
   const bool waited = observation.concurrent_remote_loads <= width_ && extra > 0.5 / rate_;
   if (waited) {
-    rate_ = std::max(rate_ * kRateCut, kLowestRate);
+    rate_ = std::max(rate_ * kRateCut, kMinRate);
   } else if (slowdown < kFullSpeedTolerance) {
-    rate_ = std::min(rate_ * kRateProbe, kHighestRate);
+    rate_ = std::min(rate_ * kRateProbe, kMaxRate);
   }
 }
 
