--- a/src/placement/engine_index.h
+++ b/src/placement/engine_index.h
@@ -27,7 +27,7 @@
   std::optional<TimePoint> leaves_at;
   std::set<ModelName> in_memory;
   std::set<ModelName> on_disk;
-  /// True if the engine accepts new replicas.
+  /// Returns true if the engine accepts new replicas.
   bool usable() const { return reachable && !leaving && !record.draining; }
 };
 
--- a/tests/placement/cell_fixture.h
+++ b/tests/placement/cell_fixture.h
@@ -89,7 +89,7 @@
     for (int round = 0; round < 100; ++round) {
       const PlannerEffects effects = planner->plan(now);
       for (const PlannerEffect& effect : effects) {
-        take(effect);
+        applyEffect(effect);
       }
       if (effects.empty() && planner->nextDeadline() > now) {
         return;
@@ -166,7 +166,7 @@
   }
 
  private:
-  void take(const PlannerEffect& effect) {
+  void applyEffect(const PlannerEffect& effect) {
     if (const auto* propose = std::get_if<ProposeEffect>(&effect)) {
       proposed.push_back(propose->command);
       commit(propose->command);
--- a/tests/placement/ledger_property_test.cc
+++ b/tests/placement/ledger_property_test.cc
@@ -41,10 +41,10 @@
 };
 
 struct NaiveEngine {
-  bool known = false;
+  bool registered = false;
   std::uint64_t incarnation = 0;
-  std::vector<NaiveSlot> lost;
-  std::uint64_t lost_incarnation = 0;
+  std::vector<NaiveSlot> removed_slots;
+  std::uint64_t removed_incarnation = 0;
 };
 
 /// Reference implementation of the ledger, used as the oracle.
@@ -88,15 +88,15 @@
 
   bool registerEngine(int engine, std::uint64_t incarnation) {
     NaiveEngine& record = engines[engine];
-    if (record.known && incarnation < record.incarnation) {
+    if (record.registered && incarnation < record.incarnation) {
       return false;
     }
-    if (record.known && incarnation > record.incarnation) {
+    if (record.registered && incarnation > record.incarnation) {
       std::erase_if(slots, [engine](const NaiveSlot& slot) { return slot.engine == engine; });
     }
-    if (!record.known) {
-      if (record.lost_incarnation == incarnation) {
-        for (NaiveSlot slot : record.lost) {
+    if (!record.registered) {
+      if (record.removed_incarnation == incarnation) {
+        for (NaiveSlot slot : record.removed_slots) {
           for (const auto& [adapter, bytes] : slot.adapters) {
             slot.bytes += bytes;
           }
@@ -105,21 +105,21 @@
           slots.push_back(slot);
         }
       }
-      record.lost.clear();
+      record.removed_slots.clear();
     }
-    record.known = true;
+    record.registered = true;
     record.incarnation = incarnation;
     return true;
   }
 
   void removeMachine(int engine) {
     NaiveEngine& record = engines[engine];
-    if (!record.known) {
+    if (!record.registered) {
       return;
     }
-    record.known = false;
-    record.lost_incarnation = record.incarnation;
-    std::copy_if(slots.begin(), slots.end(), std::back_inserter(record.lost),
+    record.registered = false;
+    record.removed_incarnation = record.incarnation;
+    std::copy_if(slots.begin(), slots.end(), std::back_inserter(record.removed_slots),
                  [engine](const NaiveSlot& slot) { return slot.engine == engine; });
     std::erase_if(slots, [engine](const NaiveSlot& slot) { return slot.engine == engine; });
   }
@@ -129,7 +129,7 @@
     const auto count = std::count_if(slots.begin(), slots.end(),
                                      [model](const NaiveSlot& slot) { return slot.model == model; });
     const NaiveEngine& record = engines[engine];
-    if (!record.known || record.incarnation != incarnation || count >= kMaximum ||
+    if (!record.registered || record.incarnation != incarnation || count >= kMaximum ||
         !fits(engine, accelerators, bytes)) {
       return false;
     }
@@ -245,7 +245,7 @@
   }
   for (int engine = 0; engine < kEngines; ++engine) {
     const std::vector<std::uint64_t> held = ledger.heldBytes(engineName(engine));
-    if (held.empty() == oracle.engines[engine].known) {
+    if (held.empty() == oracle.engines[engine].registered) {
       return false;
     }
     for (std::uint32_t accelerator = 0; accelerator < held.size(); ++accelerator) {
@@ -266,8 +266,8 @@
 }
 
 TEST_CASE("the ledger agrees with a naive reference ledger on every command") {
-  constexpr int kKeepOther = 0;
-  setenv("RC_PARAMS", "seed=20260 max_success=400 max_size=300", kKeepOther);
+  constexpr int kKeepExisting = 0;
+  setenv("RC_PARAMS", "seed=20260 max_success=400 max_size=300", kKeepExisting);
   const bool holds = rc::check("ledger against oracle", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(anyStep());
     Ledger ledger;
--- a/tests/placement/ledger_test.cc
+++ b/tests/placement/ledger_test.cc
@@ -57,7 +57,7 @@
       {"maximum reached", decision({1}, 1), 1, ResultCode::ReplicaLimitReached},
       {"no accelerator", decision({}, 1), 2, ResultCode::MemoryWouldOvercommit},
       {"an accelerator twice", decision({1, 1}, 1), 2, ResultCode::MemoryWouldOvercommit},
-      {"an accelerator that isn't there", decision({2}, 1), 2, ResultCode::MemoryWouldOvercommit},
+      {"an accelerator index out of range", decision({2}, 1), 2, ResultCode::MemoryWouldOvercommit},
       {"an older incarnation", decision({1}, 1, 0), 2, ResultCode::WrongIncarnation},
       {"a newer incarnation", decision({1}, 1, 2), 2, ResultCode::WrongIncarnation},
       {"an unknown engine", elsewhere, 2, ResultCode::UnknownEngine},
@@ -96,11 +96,12 @@
   const std::vector<Row> rows = {
       {"no proof", SlotState::Unloading, FreeProof::None, 1, false},
       {"acknowledged", SlotState::Unloading, FreeProof::UnloadAcknowledged, 1, true},
-      {"acknowledged without an unload", SlotState::Ready, FreeProof::UnloadAcknowledged, 1, false},
+      {"unload acknowledged in state Ready", SlotState::Ready, FreeProof::UnloadAcknowledged, 1, false},
       {"acknowledged by another incarnation", SlotState::Unloading, FreeProof::UnloadAcknowledged, 2, false},
       {"a new incarnation", SlotState::Ready, FreeProof::NewIncarnation, 2, true},
-      {"the same incarnation called new", SlotState::Ready, FreeProof::NewIncarnation, 1, false},
-      {"a machine called gone for one slot", SlotState::Unloading, FreeProof::MachineGone, 1, false},
+      {"proof NewIncarnation with the same incarnation", SlotState::Ready, FreeProof::NewIncarnation, 1,
+       false},
+      {"proof MachineGone for a single slot", SlotState::Unloading, FreeProof::MachineGone, 1, false},
   };
   for (const Row& row : rows) {
     INFO(row.what);
@@ -165,11 +166,11 @@
   ledger.apply(wire::RemoveMachineCommand{MachineName{"machine-1"}});
   CHECK(ledger.slots().empty());
   CHECK(ledger.engines().empty());
-  Ledger lived_on = ledger;
-  lived_on.apply(registration(1));
-  REQUIRE(lived_on.slots().size() == 1);
-  CHECK(lived_on.slots().begin()->second.state == wire::SlotState::Unloading);
-  CHECK(lived_on.heldBytes(kEngine)[0] == 70);
+  Ledger surviving = ledger;
+  surviving.apply(registration(1));
+  REQUIRE(surviving.slots().size() == 1);
+  CHECK(surviving.slots().begin()->second.state == wire::SlotState::Unloading);
+  CHECK(surviving.heldBytes(kEngine)[0] == 70);
   ledger.apply(registration(2));
   CHECK(ledger.slots().empty());
 }
