--- a/src/placement/ledger.h
+++ b/src/placement/ledger.h
@@ -47,8 +47,8 @@
 /// invariants. Deterministic.
 ///
 /// A freed slot is removed from the ledger, so memory is bounded by the slots that engines hold; an absent
-/// slot whose id is below the next id to assign has been freed. Immediately
-/// repeating a successful command other than DecideSlot succeeds again without further effect.
+/// slot whose id is below the next id to assign has been freed. Immediately repeating a successful command
+/// other than DecideSlot succeeds again without further effect.
 ///
 /// Costs: deciding, changing or freeing a slot is O(log slots + accelerators of the engine + slots of the
 /// engine and of the model). Registering an engine or removing a machine is O(its slots).
