--- a/src/placement/ledger.cc
+++ b/src/placement/ledger.cc
@@ -8,7 +8,8 @@
 namespace ferryrock::placement {
 namespace {
 
-/// Removed engines that are remembered for the case that the platform's list was wrong about them.
+/// Removed engines that are retained in case the platform's machine list omitted a machine that is still
+/// running.
 constexpr std::size_t kMaxRemovedEngines = 1024;
 
 wire::CommandResult success() {
@@ -61,7 +62,7 @@
     const EngineRecord& before = known->second;
     if (command.incarnation < before.incarnation) {
       return refusal(ResultCode::WrongIncarnation, "engine " + command.engine.value +
-                                                       " is known with incarnation " +
+                                                       " is registered with incarnation " +
                                                        std::to_string(before.incarnation.value));
     }
     const bool same_shape = before.accelerators == command.accelerators &&
@@ -94,7 +95,7 @@
   }
   const std::vector<EngineName> names = machine->second;
   for (const EngineName& name : names) {
-    rememberRemoved(engines_.at(name));
+    recordRemoved(engines_.at(name));
     freeSlotsOf(name);
     engines_.erase(name);
     held_.erase(name);
@@ -122,18 +123,18 @@
 wire::CommandResult Ledger::checkDecision(const wire::Slot& slot, const ModelLimits& limits) const {
   const EngineRecord* engine = findEngine(slot.engine);
   if (engine == nullptr) {
-    return refusal(ResultCode::UnknownEngine, "engine " + slot.engine.value + " isn't registered");
+    return refusal(ResultCode::UnknownEngine, "engine " + slot.engine.value + " is not registered");
   }
   if (checks_.incarnation && engine->incarnation != slot.incarnation) {
     return refusal(ResultCode::WrongIncarnation, "engine " + slot.engine.value + " has incarnation " +
                                                      std::to_string(engine->incarnation.value));
   }
   if (engine->draining) {
-    return refusal(ResultCode::WrongSlotState, "engine " + slot.engine.value + " drains");
+    return refusal(ResultCode::WrongSlotState, "engine " + slot.engine.value + " is draining");
   }
   if (!validAccelerators(slot.accelerators, engine->accelerators)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
-                   "engine " + slot.engine.value + " doesn't have the accelerators that were named");
+                   "engine " + slot.engine.value + " does not have the requested set of accelerators");
   }
   if (!fits(*engine, slot.accelerators, slot.bytes_per_accelerator)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
@@ -144,7 +145,7 @@
   if (checks_.replica_limit && count >= limits.max_replicas) {
     return refusal(
         ResultCode::ReplicaLimitReached,
-        "model " + slot.model.value + " has " + std::to_string(count) + " replicas that aren't freed");
+        "model " + slot.model.value + " has " + std::to_string(count) + " replicas that are not freed");
   }
   return success();
 }
@@ -152,7 +153,7 @@
 wire::CommandResult Ledger::apply(const wire::DecideAdapterCommand& command) {
   const auto entry = slots_.find(command.slot);
   if (entry == slots_.end()) {
-    return refusal(ResultCode::UnknownSlot, text(command.slot) + " isn't held");
+    return refusal(ResultCode::UnknownSlot, text(command.slot) + " is not in the ledger");
   }
   wire::Slot& slot = entry->second;
   const bool present =
@@ -170,7 +171,7 @@
     return success();
   }
   if (slot.state > wire::SlotState::Ready) {
-    return refusal(ResultCode::WrongSlotState, text(command.slot) + " drains or unloads");
+    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is draining or unloading");
   }
   if (!fits(engines_.at(slot.engine), slot.accelerators, command.bytes)) {
     return refusal(ResultCode::MemoryWouldOvercommit,
@@ -187,7 +188,8 @@
   const auto entry = slots_.find(command.slot);
   if (entry == slots_.end()) {
     const bool was_freed = command.slot < next_slot_ && command.state == wire::SlotState::Freed;
-    return was_freed ? success() : refusal(ResultCode::UnknownSlot, text(command.slot) + " isn't held");
+    return was_freed ? success()
+                     : refusal(ResultCode::UnknownSlot, text(command.slot) + " is not in the ledger");
   }
   wire::Slot& slot = entry->second;
   if (command.state == wire::SlotState::Freed) {
@@ -201,7 +203,7 @@
     return refusal(ResultCode::WrongIncarnation, text(command.slot) + " belongs to another incarnation");
   }
   if (command.state < slot.state) {
-    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is further on already");
+    return refusal(ResultCode::WrongSlotState, text(command.slot) + " is already in a later state");
   }
   slot.state = command.state;
   return success();
@@ -218,13 +220,13 @@
   if (unloaded || replaced) {
     return success();
   }
-  return refusal(ResultCode::WrongSlotState, text(slot.id) + " isn't proven to be unloaded");
+  return refusal(ResultCode::WrongSlotState, text(slot.id) + " is not proven to be unloaded");
 }
 
 wire::CommandResult Ledger::apply(const wire::DrainEngineCommand& command) {
   const auto engine = engines_.find(command.engine);
   if (engine == engines_.end()) {
-    return refusal(ResultCode::UnknownEngine, "engine " + command.engine.value + " isn't registered");
+    return refusal(ResultCode::UnknownEngine, "engine " + command.engine.value + " is not registered");
   }
   engine->second.draining = command.drain;
   return success();
@@ -320,7 +322,7 @@
   }
 }
 
-void Ledger::rememberRemoved(const EngineRecord& engine) {
+void Ledger::recordRemoved(const EngineRecord& engine) {
   RemovedEngine removed{engine.name, engine.incarnation, {}};
   for (const SlotId id : slotsOn(engine.name)) {
     removed.slots.push_back(slots_.at(id));
@@ -375,7 +377,8 @@
   for (const auto& [id, slot] : image.slots) {
     const EngineRecord* engine = restored.findEngine(slot.engine);
     if (engine == nullptr || !validAccelerators(slot.accelerators, engine->accelerators)) {
-      throw Error(ResultCode::MalformedMessage, text(id) + " names an engine that the ledger doesn't hold");
+      throw Error(ResultCode::MalformedMessage,
+                  text(id) + " refers to an unknown engine or to invalid accelerators");
     }
     restored.insertSlot(slot);
   }
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -6,13 +6,12 @@
 namespace ferryrock::placement {
 namespace {
 
-/// The rest of a load that should have ended already is estimated as this share of the time that it took so
-/// far.
-constexpr int kOverdueShare = 4;
-/// A replica that is given up leaves its place after about this.
-constexpr Duration kUnload = std::chrono::seconds(1);
-/// Without figures an adapter is expected to be loaded after this.
-constexpr Duration kAdapterLoad = std::chrono::milliseconds(500);
+/// The remaining time of an overdue load is estimated as its elapsed time divided by this.
+constexpr int kOverdueDivisor = 4;
+/// Expected time until a released replica has freed its memory.
+constexpr Duration kExpectedUnload = std::chrono::seconds(1);
+/// Expected load time of an adapter; no estimate is kept for adapters.
+constexpr Duration kExpectedAdapterLoad = std::chrono::milliseconds(500);
 
 std::string inSeconds(Duration duration) {
   const auto tenths = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count() / 100;
@@ -50,7 +49,7 @@
     const auto& adapters = view->slot.adapters;
     const bool has_adapter =
         !is_adapter || std::find(adapters.begin(), adapters.end(), name) != adapters.end();
-    const Duration adapter_load = has_adapter ? Duration::zero() : kAdapterLoad;
+    const Duration adapter_load = has_adapter ? Duration::zero() : kExpectedAdapterLoad;
     if (view->slot.state == wire::SlotState::Ready) {
       consider(adapter_load);
       continue;
@@ -60,7 +59,7 @@
         base_settings == nullptr ? 0 : base_settings->weight_bytes * base_settings->accelerators;
     const Duration elapsed = now - view->decided_at;
     const Duration left = expectedLoadFrom(view->tier, bytes, now) - elapsed;
-    consider(std::max(left, elapsed / kOverdueShare) + adapter_load);
+    consider(std::max(left, elapsed / kOverdueDivisor) + adapter_load);
   }
   if (soonest) {
     return soonest;
@@ -68,21 +67,21 @@
   if (state != nullptr && state->settings) {
     const ReplicaCounts counts = countReplicas(*state);
     const bool none_free = counts.total + counts.pending >= maximumOf(*state) && counts.pending == 0;
-    const bool at_maximum = none_free && counts.ending == 0;
+    const bool at_maximum = none_free && counts.being_removed == 0;
     const bool no_room = state->blocked_epoch == memory_epoch_ && !isRoomBeingMade(*state, now);
     if (at_maximum || no_room) {
       return std::nullopt;
     }
-    const Duration until_free = none_free ? kUnload : Duration::zero();
+    const Duration until_free = none_free ? kExpectedUnload : Duration::zero();
     const Duration until_retry =
         state->retry_at ? std::max(*state->retry_at - now, Duration::zero()) : Duration::zero();
     const Duration wait = std::max(until_free, until_retry);
     const auto queue = static_cast<double>(load_queue_.size());
-    const Duration turn = fromSeconds(queue / store_.rate());
+    const Duration queue_delay = fromSeconds(queue / store_.rate());
     const Duration load = expectedLoadOf(*state);
-    const bool near =
-        engines_.heldNear(base, CheckpointTier::Memory) || engines_.heldNear(base, CheckpointTier::Disk);
-    return wait + (near ? load : load + turn);
+    const bool on_local_tier = engines_.hasCheckpoint(base, CheckpointTier::Memory) ||
+                               engines_.hasCheckpoint(base, CheckpointTier::Disk);
+    return wait + (on_local_tier ? load : load + queue_delay);
   }
   const wire::ResolvedModel* base_settings = settingsOf(base);
   if (base_settings == nullptr || base_settings->max_replicas == 0) {
@@ -98,8 +97,9 @@
   explanation.model = settings == nullptr ? name : settings->base;
   const ModelState* state = findState(explanation.model);
   if (state == nullptr) {
-    explanation.reasons.push_back(settings == nullptr ? "The settings tree doesn't hold this name."
-                                                      : "Nobody has asked for it since this leader began.");
+    explanation.reasons.push_back(settings == nullptr
+                                      ? "The settings tree does not contain this name."
+                                      : "No request for this model has arrived since this leader started.");
     return explanation;
   }
   const ReplicaCounts counts = countReplicas(*state);
@@ -113,20 +113,20 @@
     explanation.wanted = std::min(explanation.wanted, maximumOf(*state));
     reasons.push_back("Between " + std::to_string(state->settings->min_replicas) + " and " +
                       std::to_string(state->settings->max_replicas) + " replicas are allowed; " +
-                      std::to_string(demand.waiting) + " requests wait and " +
-                      std::to_string(demand.running) + " run, " +
-                      std::to_string(state->settings->concurrency) + " at once on a replica.");
+                      std::to_string(demand.waiting) + " requests are waiting and " +
+                      std::to_string(demand.running) + " are running, with a limit of " +
+                      std::to_string(state->settings->concurrency) + " concurrent requests per replica.");
   } else {
-    reasons.push_back("The settings tree no longer holds it; its replicas are given back.");
+    reasons.push_back("The settings tree no longer contains this model; its replicas are released.");
   }
   if (state->idle_since) {
     const Duration idle = now - *state->idle_since;
-    std::string sentence = "It has been idle for " + inSeconds(idle) + " and is kept for " +
+    std::string sentence = "The model has been idle for " + inSeconds(idle) + " and is kept for " +
                            inSeconds(state->idle_decision.keep) +
-                           " by what its own gaps and cold_start_weight say";
+                           " according to its idle gaps and cold_start_weight";
     if (state->idle_decision.prewarm) {
       sentence +=
-          "; it is loaded again " + inSeconds(state->idle_decision.prewarm->begin) + " after its last use";
+          "; it is prewarmed " + inSeconds(state->idle_decision.prewarm->begin) + " after its last use";
     }
     reasons.push_back(sentence + ".");
   }
@@ -139,29 +139,29 @@
       sentence += ", from " + tierName(view->tier) + ", for " + inSeconds(now - view->decided_at);
     }
     if (engine == nullptr || !engine->reachable) {
-      sentence += "; the engine can't be reached, so it holds the slot until there is proof";
+      sentence += "; the engine is unreachable, so the slot stays held until it is proven to be free";
     } else if (!engine->usable()) {
-      sentence += "; the engine drains or its machine leaves";
+      sentence += "; the engine is draining or its machine is leaving";
     }
     reasons.push_back(sentence + ".");
   }
   if (load_queue_.contains(state->name)) {
     const LoadCandidate& candidate = load_queue_.at(state->name);
-    reasons.push_back("A load has waited for " + inSeconds(now - candidate.wanted_since) + ", with " +
+    reasons.push_back("A load has waited for " + inSeconds(now - candidate.requested_since) + ", with " +
                       std::to_string(load_queue_.size()) + " models in the queue.");
     if (isLate(candidate, now)) {
-      reasons.push_back("It can't be in time for those who wait now.");
+      reasons.push_back("The load cannot end before the earliest deadline of the waiting requests.");
     }
   }
   if (!state->obstacle.empty()) {
     reasons.push_back("No further load begins: " + state->obstacle + ".");
   }
-  if (state->refused_version) {
-    reasons.push_back("Version " + state->refused_version->value +
+  if (state->rejected_version) {
+    reasons.push_back("Version " + state->rejected_version->value +
                       " was rolled back because its loads failed; change the settings to try again.");
   }
   if (store_.isSlow()) {
-    reasons.push_back("The weight store is slow at present.");
+    reasons.push_back("The weight store is currently slow.");
   }
   return explanation;
 }
--- a/tests/placement/ledger_property_test.cc
+++ b/tests/placement/ledger_property_test.cc
@@ -5,7 +5,8 @@
 
 #include "placement/ledger.h"
 
-/// Random commands against a naive ledger that keeps nothing but lists and counts everything anew.
+/// Compares the ledger with a naive one, which keeps plain lists and recomputes every total, on random
+/// commands.
 namespace ferryrock::placement {
 namespace {
 
@@ -40,13 +41,13 @@
 };
 
 struct NaiveEngine {
-  bool known = false;
+  bool registered = false;
   std::uint64_t incarnation = 0;
-  std::vector<NaiveSlot> lost;
-  std::uint64_t lost_incarnation = 0;
+  std::vector<NaiveSlot> removed_slots;
+  std::uint64_t removed_incarnation = 0;
 };
 
-/// The oracle.
+/// Reference implementation of the ledger, used as the oracle.
 struct NaiveLedger {
   std::vector<NaiveSlot> slots;
   NaiveEngine engines[kEngines];
@@ -87,15 +88,15 @@
 
   bool registerEngine(int engine, std::uint64_t incarnation) {
     NaiveEngine& record = engines[engine];
-    if (record.known && incarnation < record.incarnation) {
+    if (record.registered && incarnation < record.incarnation) {
       return false;
     }
-    if (record.known && incarnation > record.incarnation) {
+    if (record.registered && incarnation > record.incarnation) {
       std::erase_if(slots, [engine](const NaiveSlot& slot) { return slot.engine == engine; });
     }
-    if (!record.known) {
-      if (record.lost_incarnation == incarnation) {
-        for (NaiveSlot slot : record.lost) {
+    if (!record.registered) {
+      if (record.removed_incarnation == incarnation) {
+        for (NaiveSlot slot : record.removed_slots) {
           for (const auto& [adapter, bytes] : slot.adapters) {
             slot.bytes += bytes;
           }
@@ -104,21 +105,21 @@
           slots.push_back(slot);
         }
       }
-      record.lost.clear();
+      record.removed_slots.clear();
     }
-    record.known = true;
+    record.registered = true;
     record.incarnation = incarnation;
     return true;
   }
 
   void removeMachine(int engine) {
     NaiveEngine& record = engines[engine];
-    if (!record.known) {
+    if (!record.registered) {
       return;
     }
-    record.known = false;
-    record.lost_incarnation = record.incarnation;
-    std::copy_if(slots.begin(), slots.end(), std::back_inserter(record.lost),
+    record.registered = false;
+    record.removed_incarnation = record.incarnation;
+    std::copy_if(slots.begin(), slots.end(), std::back_inserter(record.removed_slots),
                  [engine](const NaiveSlot& slot) { return slot.engine == engine; });
     std::erase_if(slots, [engine](const NaiveSlot& slot) { return slot.engine == engine; });
   }
@@ -128,7 +129,7 @@
     const auto count = std::count_if(slots.begin(), slots.end(),
                                      [model](const NaiveSlot& slot) { return slot.model == model; });
     const NaiveEngine& record = engines[engine];
-    if (!record.known || record.incarnation != incarnation || count >= kMaximum ||
+    if (!record.registered || record.incarnation != incarnation || count >= kMaximum ||
         !fits(engine, accelerators, bytes)) {
       return false;
     }
@@ -185,7 +186,7 @@
   return ModelName{"model-" + std::to_string(index)};
 }
 
-/// Applies a step to both; returns whether they agree that it was accepted.
+/// Applies a step to both ledgers; returns whether they agree on accepting it.
 bool applyBoth(const Step& step, Ledger& ledger, NaiveLedger& oracle) {
   const auto ok = [](const wire::CommandResult& result) { return result.code == ResultCode::Ok; };
   const std::uint64_t incarnation = 1 + step.number % 3;
@@ -244,7 +245,7 @@
   }
   for (int engine = 0; engine < kEngines; ++engine) {
     const std::vector<std::uint64_t> held = ledger.heldBytes(engineName(engine));
-    if (held.empty() == oracle.engines[engine].known) {
+    if (held.empty() == oracle.engines[engine].registered) {
       return false;
     }
     for (std::uint32_t accelerator = 0; accelerator < held.size(); ++accelerator) {
@@ -264,9 +265,9 @@
                               rc::gen::set(&Step::number, rc::gen::inRange(0, 9)));
 }
 
-TEST_CASE("the ledger agrees with a naive one on every command") {
-  constexpr int kKeepOther = 0;
-  setenv("RC_PARAMS", "seed=20260 max_success=400 max_size=300", kKeepOther);
+TEST_CASE("the ledger agrees with a naive reference ledger on every command") {
+  constexpr int kKeepExisting = 0;
+  setenv("RC_PARAMS", "seed=20260 max_success=400 max_size=300", kKeepExisting);
   const bool holds = rc::check("ledger against oracle", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(anyStep());
     Ledger ledger;
--- a/tests/placement/ledger_test.cc
+++ b/tests/placement/ledger_test.cc
@@ -39,7 +39,7 @@
   return ledger;
 }
 
-TEST_CASE("a decision is refused that the engine, the memory or the maximum doesn't allow") {
+TEST_CASE("a slot decision that the engine, its memory or the replica limit does not allow is rejected") {
   struct Row {
     const char* what;
     wire::DecideSlotCommand command;
@@ -57,7 +57,7 @@
       {"maximum reached", decision({1}, 1), 1, ResultCode::ReplicaLimitReached},
       {"no accelerator", decision({}, 1), 2, ResultCode::MemoryWouldOvercommit},
       {"an accelerator twice", decision({1, 1}, 1), 2, ResultCode::MemoryWouldOvercommit},
-      {"an accelerator that isn't there", decision({2}, 1), 2, ResultCode::MemoryWouldOvercommit},
+      {"an accelerator index out of range", decision({2}, 1), 2, ResultCode::MemoryWouldOvercommit},
       {"an older incarnation", decision({1}, 1, 0), 2, ResultCode::WrongIncarnation},
       {"a newer incarnation", decision({1}, 1, 2), 2, ResultCode::WrongIncarnation},
       {"an unknown engine", elsewhere, 2, ResultCode::UnknownEngine},
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_CASE("a draining engine takes no new replica") {
+TEST_CASE("a draining engine accepts no new replica") {
   Ledger ledger;
   ledger.apply(registration(1));
   ledger.apply(wire::DrainEngineCommand{kEngine, true});
@@ -83,7 +83,7 @@
         ResultCode::UnknownEngine);
 }
 
-TEST_CASE("a slot is freed only on proof") {
+TEST_CASE("a slot is freed only with proof of unloading or of a new incarnation") {
   struct Row {
     const char* what;
     wire::SlotState state;
@@ -96,11 +96,12 @@
   const std::vector<Row> rows = {
       {"no proof", SlotState::Unloading, FreeProof::None, 1, false},
       {"acknowledged", SlotState::Unloading, FreeProof::UnloadAcknowledged, 1, true},
-      {"acknowledged without an unload", SlotState::Ready, FreeProof::UnloadAcknowledged, 1, false},
+      {"unload acknowledged in state Ready", SlotState::Ready, FreeProof::UnloadAcknowledged, 1, false},
       {"acknowledged by another incarnation", SlotState::Unloading, FreeProof::UnloadAcknowledged, 2, false},
       {"a new incarnation", SlotState::Ready, FreeProof::NewIncarnation, 2, true},
-      {"the same incarnation called new", SlotState::Ready, FreeProof::NewIncarnation, 1, false},
-      {"a machine called gone for one slot", SlotState::Unloading, FreeProof::MachineGone, 1, false},
+      {"proof NewIncarnation with the same incarnation", SlotState::Ready, FreeProof::NewIncarnation, 1,
+       false},
+      {"proof MachineGone for a single slot", SlotState::Unloading, FreeProof::MachineGone, 1, false},
   };
   for (const Row& row : rows) {
     INFO(row.what);
@@ -116,7 +117,9 @@
   }
 }
 
-TEST_CASE("slot states move forward only, for the slot's own incarnation, and repeats change nothing") {
+TEST_CASE(
+    "slot states only move forward, only for the slot's own incarnation, and repeated commands change "
+    "nothing") {
   Ledger ledger = ledgerWithSlot();
   const auto move = [&](wire::SlotState state, std::uint64_t incarnation = 1) {
     return ledger
@@ -141,7 +144,7 @@
             .code == ResultCode::UnknownSlot);
 }
 
-TEST_CASE("a new incarnation frees what the older one held, and a late older one is refused") {
+TEST_CASE("a new incarnation frees the slots of the previous one, whose late registration is rejected") {
   Ledger ledger = ledgerWithSlot();
   CHECK(ledger.apply(registration(2)).code == ResultCode::Ok);
   CHECK(ledger.slots().empty());
@@ -149,29 +152,30 @@
   CHECK(ledger.apply(decision({0}, 100, 2), {1}).slot == SlotId{2});
 }
 
-TEST_CASE("the same incarnation can't change its accelerators under its slots") {
+TEST_CASE("an incarnation that holds slots cannot change its accelerators") {
   Ledger ledger = ledgerWithSlot();
   CHECK(ledger.apply(registration(1)).code == ResultCode::Ok);
   CHECK(ledger.apply(registration(1, 1)).code == ResultCode::MemoryWouldOvercommit);
   CHECK(ledger.slots().size() == 1);
 }
 
-TEST_CASE("a removed machine frees its slots, and if it lived on, they come back to be unloaded") {
+TEST_CASE(
+    "removing a machine frees its slots, which are restored for unloading if its engine is still running") {
   Ledger ledger = ledgerWithSlot();
   ledger.apply(wire::DecideAdapterCommand{SlotId{1}, ModelName{"adapter"}, 10, false});
   ledger.apply(wire::RemoveMachineCommand{MachineName{"machine-1"}});
   CHECK(ledger.slots().empty());
   CHECK(ledger.engines().empty());
-  Ledger lived_on = ledger;
-  lived_on.apply(registration(1));
-  REQUIRE(lived_on.slots().size() == 1);
-  CHECK(lived_on.slots().begin()->second.state == wire::SlotState::Unloading);
-  CHECK(lived_on.heldBytes(kEngine)[0] == 70);
+  Ledger surviving = ledger;
+  surviving.apply(registration(1));
+  REQUIRE(surviving.slots().size() == 1);
+  CHECK(surviving.slots().begin()->second.state == wire::SlotState::Unloading);
+  CHECK(surviving.heldBytes(kEngine)[0] == 70);
   ledger.apply(registration(2));
   CHECK(ledger.slots().empty());
 }
 
-TEST_CASE("adapters take memory of their slot's accelerators") {
+TEST_CASE("adapters occupy memory on the accelerators of their slot") {
   Ledger ledger = ledgerWithSlot();
   const ModelName adapter{"adapter"};
   const auto decide = [&](std::uint64_t bytes, bool remove = false) {
@@ -191,7 +195,7 @@
         ResultCode::UnknownSlot);
 }
 
-TEST_CASE("a restored ledger is the same, and damaged bytes change nothing") {
+TEST_CASE("a restored ledger equals the original, and corrupted bytes leave a ledger unchanged") {
   Ledger ledger = ledgerWithSlot();
   ledger.apply(wire::DecideAdapterCommand{SlotId{1}, ModelName{"adapter"}, 10, false});
   const std::string bytes = ledger.serialize();
