--- a/src/balance/call_cost.cc
+++ b/src/balance/call_cost.cc
@@ -7,9 +7,10 @@
 namespace ferryrock::balance {
 namespace {
 
-/// Of the streams beside which prompts are read on a slow replica, the share that is late by it.
+/// Share of the streams that are delayed by prefill on a slow replica.
 constexpr double kDisturbedShare = 0.5;
-/// The way to another zone and the bytes over it, in tokens that are read meanwhile (about 5 ms).
+/// Cost of the network path to another zone and of the transferred bytes, as the number of tokens that are
+/// prefilled in the same time (about 5 ms).
 constexpr double kOtherZoneTokens = 200;
 
 }  // namespace
@@ -19,7 +20,7 @@
   const double shared = place.is_home ? std::min(call.shared_tokens, call.prompt_tokens) : 0;
   const double unread = call.prompt_tokens - shared;
   const double wait = (use.unread_tokens + unread) * use.slowness;
-  // On the others a prompt passes between two events without their callers seeing it.
+  // A replica that isn't slow prefills a prompt between two events without a delay that callers notice.
   const double disturbed = use.slowness >= kUnevenSlowness ? kDisturbedShare * use.slowness : 0;
   const double harm = disturbed * unread * use.streams;
   const double exposure = disturbed * use.tokens_per_s * call.stream_seconds;
--- a/src/balance/call_cost.h
+++ b/src/balance/call_cost.h
@@ -5,28 +5,31 @@
 
 namespace ferryrock::balance {
 
-/// What a call brings to a replica.
+/// Size and expected duration of a call that is to be placed.
 struct CallShape {
   double prompt_tokens = 0;
-  double shared_tokens = 0;   ///< of them, those that other calls share: read already where these went
-  double stream_seconds = 0;  ///< how long its stream will run, as streams of its kind did
+  double shared_tokens = 0;  ///< part of prompt_tokens that other calls share; the home replica has processed
+                             ///< this prefix already
+  double stream_seconds =
+      0;  ///< expected duration of the response stream, from earlier streams of the same kind
 };
 
-/// A replica that could take the call.
+/// A candidate replica for a call.
 struct CallPlace {
   FleetUse use;
-  bool is_home = false;  ///< calls that share the call's prefix go there
+  bool is_home = false;  ///< the replica to which calls with the same prompt prefix are routed
   bool other_zone = false;
 };
 
-/// What the call costs its caller and the others there, in prompt tokens that the fastest replica reads
-/// meanwhile:
-/// - the wait for its first event, behind the prompts that are unread there;
-/// - the pauses that reading its prompt makes in the streams that run there;
-/// - the pauses that prompts which come while its stream runs make in its own.
-/// Least over the replicas, long streams and long prompts part by themselves: streams go where few prompts
-/// are read, most of all on the fast replicas, and prompts where few streams run. Answers the load of callers
-/// with long streams beside others with long prompts, on replicas of different speed.
+/// Returns the estimated cost of placing the call on the replica, for its own caller and for the streams that
+/// run there. The unit is prompt tokens that the fastest replica prefills in the same time. The cost has
+/// three parts:
+/// - the time to first event, behind the replica's prefill backlog;
+/// - the delay that prefilling this prompt adds to the streams that run on the replica;
+/// - the delay that prompts which arrive while this call streams add to its own stream.
+/// Choosing the replica with the lowest cost separates long streams from long prompts: streams go to replicas
+/// that prefill little, above all the fast ones, and prompts go to replicas with few streams. This serves
+/// mixed loads of long streams and long prompts on replicas of different speed.
 double callCost(const CallShape& call, const CallPlace& place);
 
 }  // namespace ferryrock::balance
--- a/src/balance/load_board.cc
+++ b/src/balance/load_board.cc
@@ -5,10 +5,11 @@
 namespace ferryrock::balance {
 namespace {
 
-/// Loads are told every 0.4 s in fleets of today's size. A stream of the users' lasts about 2 s: older sums
-/// tell of streams that have ended.
+/// Maximum age of the aggregates. They are published about every 0.4 s. A stream lasts about 2 s on average,
+/// so older aggregates describe streams that have ended.
 constexpr Duration kFresh = std::chrono::milliseconds(2500);
-/// A speed is kept for so long after it was last told. Replicas differ for long; a new life has another key.
+/// Retention of a replica's slowness after its last update. Replicas stay slow for long, and a new
+/// incarnation has another key.
 constexpr Duration kSpeedKnown = std::chrono::seconds(60);
 constexpr double kPercent = 100;
 
--- a/src/balance/load_board.h
+++ b/src/balance/load_board.h
@@ -10,39 +10,42 @@
 
 namespace ferryrock::balance {
 
-/// What one router has at a replica just now.
+/// Load that this router itself has placed on a replica.
 struct OwnUse {
   std::uint32_t streams = 0;
   std::uint64_t unread_tokens = 0;
 };
 
-/// What all routers together have at a replica, as far as one of them knows.
+/// Load of all routers on a replica, as estimated by one router.
 struct FleetUse {
   double streams = 0;
-  double unread_tokens = 0;  ///< of prompts that were sent and show no event yet
-  double tokens_per_s = 0;   ///< of prompts that were sent lately
-  double slowness = 1;       ///< its pace against the fastest replica that shares a model with it
+  double unread_tokens = 0;  ///< of prompts that were sent and have produced no event yet
+  double tokens_per_s = 0;   ///< rate of prompt tokens that were sent to the replica recently
+  double slowness = 1;  ///< ratio of its event gap to that of the fastest replica that shares a model with it
 };
 
-/// One router's view of the load of replicas: what the leader last told, in which the router's own part is
-/// replaced by what it has there now. Reports are some hundred ms old. Without fresh ones the router counts
-/// on its own alone, as if the others weren't there. Used by one thread.
+/// One router's view of the load of the replicas. It takes the latest aggregates from the leader and replaces
+/// the router's own share in them by its current local load. The aggregates are a few hundred milliseconds
+/// old. Without fresh aggregates, the router counts only its own load, as if there were no other routers. Not
+/// thread-safe; used by one thread.
 class LoadBoard {
  public:
-  /// What this router told the leader last; its part of the sums that come.
+  /// Records the loads that this router last reported to the leader. They are its share in the aggregates
+  /// that the leader publishes.
   void onTold(const std::vector<wire::ReplicaUse>& uses);
   void accept(const std::vector<wire::ReplicaLoad>& loads, TimePoint now);
 
-  /// False: the loads are too old to go by, or were never told.
+  /// Returns false if the aggregates are too old to be used, or if none was received.
   bool isFresh(TimePoint now) const;
-  /// Since the loads came; nullopt: never.
+  /// Returns the time since the aggregates were received; nullopt if none was.
   std::optional<Duration> age(TimePoint now) const;
   FleetUse use(std::uint32_t replica, const OwnUse& own) const;
-  /// Known to be slower than another replica, above 1; else 1.
+  /// Returns the replica's slowness, above 1 if it is known to be slower than another replica, else 1.
   double slowness(std::uint32_t replica) const;
 
  private:
-  /// A leader that has just begun doesn't know replicas as slow that get no streams.
+  /// Kept across leader changes: a new leader doesn't know that a replica is slow if the replica gets no
+  /// streams.
   struct Speed {
     double slowness = 1;
     TimePoint told{};
--- a/src/balance/load_key.h
+++ b/src/balance/load_key.h
@@ -3,13 +3,13 @@
 #include <cstdint>
 #include <string_view>
 
-/// Loads of replicas as routers see them, summed over all routers: what each replica reads and serves, how
-/// slow it is, and which replica suits a call best by that. Logic only, without input, output or a clock.
+/// Replica loads, aggregated over all routers: streams, prefill backlog and slowness of each replica, and the
+/// choice of the best replica for a call based on them. Logic only, without I/O or a clock.
 namespace ferryrock::balance {
 
-/// Names a replica or a model in messages about loads. 4 bytes in place of 20, since they are told several
-/// times a second; should two names meet, their loads are added, and calls avoid both a little more than
-/// needed.
+/// Returns the key of a replica or a model in load messages. A key takes 4 bytes instead of about 20 for the
+/// name, since loads are published several times a second. If two names collide, their loads are added, and
+/// calls avoid both replicas slightly more than necessary.
 std::uint32_t loadKey(std::string_view name);
 
 }  // namespace ferryrock::balance
--- a/src/balance/load_tally.cc
+++ b/src/balance/load_tally.cc
@@ -6,15 +6,16 @@
 namespace ferryrock::balance {
 namespace {
 
-/// Routers tell the leader their use four times a second; what one that is silent for longer had there has
-/// mostly ended.
+/// Routers report their load to the leader four times a second. Most streams of a router that hasn't reported
+/// for this long have ended.
 constexpr Duration kHeard = std::chrono::milliseconds(1500);
-/// Time in which a prompt that was sent loses all but 1/e of its weight in the rate: about as long as a
-/// stream that is placed now runs beside what comes.
+/// Time constant of the decay of the rate of sent prompt tokens (1/e). It is about the time for which a newly
+/// placed stream runs alongside prompts that arrive later.
 constexpr double kRateSeconds = 2.0;
-/// Many routers are told within a moment; the sums are made anew after this.
+/// Many routers receive an update within a few milliseconds, so the aggregates are cached for this long.
 constexpr Duration kLoadsLast = std::chrono::milliseconds(50);
-/// Speeds change over windows of seconds; working them out takes milliseconds with thousands of replicas.
+/// Slowness changes over windows of several seconds, and computing it takes milliseconds with thousands of
+/// replicas, so it is cached for this long.
 constexpr Duration kSlownessLasts = std::chrono::seconds(1);
 constexpr double kLeastRate = 1.0;
 constexpr double kPercent = 100;
--- a/src/balance/load_tally.h
+++ b/src/balance/load_tally.h
@@ -10,16 +10,17 @@
 
 namespace ferryrock::balance {
 
-/// Sums what routers tell of their own use of replicas. One leader's; a new one has the whole picture after
-/// each router has told its next status. Used by one thread.
+/// Aggregates the loads that routers report for their own calls. Owned by the leader; after a change of
+/// leader, the aggregates are complete as soon as each router has sent its next status. Not thread-safe; used
+/// by one thread.
 class LoadTally {
  public:
   void accept(const wire::CallRouterStatus& status, TimePoint now);
-  /// Forgets routers that are silent, and lets rates and paces fade.
+  /// Drops routers that have stopped reporting, and applies the decay of rates and event gaps.
   void expire(TimePoint now);
-  /// Every replica that serves something or is known to be slow, by key.
+  /// Returns the load of each replica that serves calls or is known to be slow, ordered by key.
   std::vector<wire::ReplicaLoad> loads(TimePoint now);
-  /// Of the replicas that are slower than another with the same model, by key.
+  /// Returns the slowness of the replicas that share a model with another replica, by key.
   const std::map<std::uint32_t, double>& slowness(TimePoint now);
 
  private:
@@ -30,7 +31,7 @@
   struct Sum {
     std::int64_t streams = 0;
     std::int64_t unread_tokens = 0;
-    double fading_tokens = 0;  ///< of prompts that were sent there, each fading over kRateSeconds
+    double fading_tokens = 0;  ///< prompt tokens sent there, decaying over kRateSeconds
   };
 
   void add(const std::vector<wire::ReplicaUse>& uses, std::int64_t sign);
--- a/src/balance/pace_table.cc
+++ b/src/balance/pace_table.cc
@@ -7,12 +7,13 @@
 namespace ferryrock::balance {
 namespace {
 
-/// Streams whose pace was seen, of one model at one replica, until that says something: the shortest of a few
-/// is undisturbed as a rule.
+/// Minimum number of reports on a model at a replica before its shortest gap is used. The shortest gap of a
+/// few streams is usually undisturbed.
 constexpr std::uint32_t kFewestSeen = 3;
-/// A replica that gets no streams, as a slow one may, is known for as slow for a minute.
+/// A slow replica may get no streams at all. Its slowness is kept for this many windows without a report (1
+/// min).
 constexpr int kIdleWindows = 10;
-/// Rounds in which speeds settle that are known only across several models.
+/// Iterations after which slowness values converge that are linked only through several models.
 constexpr int kRounds = 10;
 
 Duration shorter(Duration left, Duration right) {
@@ -22,14 +23,15 @@
   return std::min(left, right);
 }
 
-/// One model at one replica, with natural logarithms of times and of ratios.
+/// Shortest gap of one model at one replica, as a natural logarithm.
 struct Sample {
   std::uint32_t model = 0;
   std::uint32_t replica = 0;
   double pace = 0;
 };
 
-/// Each model's pace on a replica of full speed, from the best of its replicas.
+/// Estimates the event gap of each model on a replica of full speed: the lowest gap over its replicas,
+/// corrected by their slowness.
 std::map<std::uint32_t, double> modelPaces(const std::vector<Sample>& samples,
                                            std::map<std::uint32_t, double>& slowness) {
   std::map<std::uint32_t, double> paces;
@@ -41,7 +43,7 @@
   return paces;
 }
 
-/// Each replica's slowness, as the mean over its models.
+/// Estimates the slowness of each replica as the mean over its models.
 std::map<std::uint32_t, double> replicaSlowness(const std::vector<Sample>& samples,
                                                 const std::map<std::uint32_t, double>& paces) {
   std::map<std::uint32_t, std::pair<double, int>> sums;
@@ -89,8 +91,8 @@
   std::erase_if(paces_, [](const auto& item) { return item.second.idle_windows > kIdleWindows; });
 }
 
-/// A model tells something of its replicas only if there are several. Where all of them are slow, that shows
-/// in the other models that they hold: speeds and paces are worked out in turn.
+/// A model allows a comparison only if several replicas hold it. If all of them are slow, this shows only in
+/// the other models that they hold, so replica slowness and model gaps are estimated alternately.
 std::map<std::uint32_t, double> PaceTable::slowness() const {
   std::vector<Sample> samples;
   for (auto first = paces_.begin(); first != paces_.end();) {
--- a/src/balance/pace_table.h
+++ b/src/balance/pace_table.h
@@ -10,37 +10,38 @@
 
 namespace ferryrock::balance {
 
-/// How slow replicas are against others that hold the same model, from the shortest pauses between two events
-/// of a stream. Prompts that are read beside a stream, full batches and the network only add to a pause, so
-/// that the shortest one of some seconds tells the replica's own speed. Used by one thread.
+/// Estimates how slow replicas are relative to others that hold the same model, from the shortest gaps
+/// between two events of a stream. Concurrent prefill, full batches and the network only lengthen a gap, so
+/// the shortest gap within a few seconds reflects the speed of the replica itself. Not thread-safe; used by
+/// one thread.
 class PaceTable {
  public:
   void accept(const std::vector<wire::ObservedPace>& paces, TimePoint now);
-  /// Forgets pauses that are older than the window, so that a replica that was slow for a while is taken up
+  /// Drops gaps that are older than the window, so that a replica that was slow only for a while is used
   /// again.
   void expire(TimePoint now);
 
-  /// How slow each replica is against the fastest one, 1 and above, for those that share a model with others
-  /// or with others of these.
+  /// Returns the slowness of each replica relative to the fastest one, at least 1. Covers replicas that are
+  /// connected to another one by a shared model, directly or through further replicas.
   std::map<std::uint32_t, double> slowness() const;
 
-  /// A replica that turns slow is known after one to two windows: long enough that undisturbed pauses of a
-  /// busy model are seen by 80 routers with one stream a second among them, short against the minutes for
-  /// which replicas stay slow.
+  /// A replica that becomes slow is detected within one to two windows. The window is long enough for 80
+  /// routers that share one stream a second of a busy model to observe undisturbed gaps, and short compared
+  /// with the minutes for which replicas stay slow.
   static constexpr Duration kWindow = std::chrono::seconds(6);
 
  private:
-  /// The shortest pause of the present window and of the last one before in which streams were seen; zero:
-  /// none.
+  /// Shortest gaps in the current window and in the latest earlier window in which streams were observed.
+  /// Zero means that there was none.
   struct Pace {
     Duration present{};
     Duration before{};
-    std::uint32_t seen_present = 0;  ///< reports
+    std::uint32_t seen_present = 0;  ///< number of reports
     std::uint32_t seen_before = 0;
-    int idle_windows = 0;  ///< since streams of the model were last seen there
+    int idle_windows = 0;  ///< windows since streams of the model were last observed there
     Duration shortest() const;
   };
-  using Key = std::pair<std::uint32_t, std::uint32_t>;  ///< model, replica
+  using Key = std::pair<std::uint32_t, std::uint32_t>;  ///< model key, replica key
 
   std::map<Key, Pace> paces_;
   TimePoint window_end_{};
--- a/src/balance/uneven.h
+++ b/src/balance/uneven.h
@@ -2,13 +2,13 @@
 
 namespace ferryrock::balance {
 
-/// A replica whose pace is this many times that of another one with the same model is treated as slow.
-/// Prompts of the users' captioning calls, read on replicas 2.2 times as slow as the others, hold the streams
-/// beside them up for longer than the half second that callers bear (50 to 65 in 100 streams there, none on
-/// the others); on fleets whose replicas differ by 1.3 they don't.
+/// A replica is treated as slow if its event gap is at least this many times that of another replica with the
+/// same model. When long prompts are prefilled on a replica that is 2.2 times as slow as the others, 50 to 65
+/// of 100 concurrent streams stall for longer than the half second that callers tolerate; on the faster
+/// replicas none does. Where replicas differ by a factor of 1.3, no streams stall that long.
 constexpr double kUnevenSlowness = 1.5;
 
-/// How much slower the replica counts as: 1 unless it is slow in this sense.
+/// Returns the slowness to use in placement: 1 for a replica that isn't treated as slow.
 constexpr double countedSlowness(double slowness) {
   return slowness >= kUnevenSlowness ? slowness : 1;
 }
--- a/tests/balance/call_cost_test.cc
+++ b/tests/balance/call_cost_test.cc
@@ -20,7 +20,7 @@
 constexpr CallShape kPrompt{9'000, 6'300, 1};
 constexpr CallShape kStream{800, 200, 2};
 
-TEST_CASE("The cost rises with what is unread, with slowness, and beside streams on a slow replica") {
+TEST_CASE("The cost rises with the prefill backlog, with slowness, and with streams on a slow replica") {
   CHECK(callCost(kPrompt, place(0, 5'000, 0, 1)) > callCost(kPrompt, place(0, 0, 0, 1)));
   CHECK(callCost(kPrompt, place(0, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 1)));
   CHECK(callCost(kPrompt, place(20, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 2)));
@@ -28,7 +28,7 @@
   CHECK(callCost(kStream, place(0, 0, 20'000, 2)) > callCost(kStream, place(0, 0, 0, 2)));
 }
 
-TEST_CASE("A prefix that was read is worth its tokens, no more") {
+TEST_CASE("A cached prefix lowers the cost by its own tokens at most") {
   CallPlace home = place(0, 0, 0, 1);
   home.is_home = true;
   CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, place(0, 0, 0, 1)) - 6'300));
@@ -37,14 +37,15 @@
   CHECK(callCost({100, 6'300, 0}, home) >= 0);
 }
 
-/// One replica: reads prompts one after the other and runs streams. On a slow one, streams beside which over
-/// 8,000 tokens are read within half a second are late, as callers bear no longer pause.
+/// Simulated replica that prefills prompts one after the other and runs streams. On a slow replica, a stream
+/// is late if more than 8,000 tokens are prefilled within half a second of its time, since callers tolerate
+/// no longer gap.
 struct Replica {
   double slowness = 1;
-  std::deque<double> prompts;                    ///< tokens left
-  std::deque<double> times;                      ///< that the prompts have waited, ms
-  std::vector<std::pair<double, bool>> streams;  ///< ms left, late
-  std::deque<double> read;                       ///< by steps of 10 ms, half a second
+  std::deque<double> prompts;                    ///< tokens left to prefill
+  std::deque<double> times;                      ///< time that each prompt has waited, ms
+  std::vector<std::pair<double, bool>> streams;  ///< remaining ms, whether the stream is late
+  std::deque<double> read;  ///< tokens prefilled per step of 10 ms, over the last half second
   double unread() const {
     double sum = 0;
     for (const double tokens : prompts) {
@@ -61,8 +62,8 @@
   int streams_in_time = 0;
 };
 
-/// 12 captions of 2,900 unread tokens and 12 chats a second on a fast and two slow replicas, 60 s. The choice
-/// knows loads that are 400 ms old.
+/// Simulates 60 s of 12 calls a second with 2,900 uncached prompt tokens and 12 calls a second with a long
+/// stream, on one fast and two slow replicas. The placement uses loads that are 400 ms old.
 template <class Choose>
 Served play(std::uint64_t seed, Choose choose) {
   constexpr double kStepMs = 10;
@@ -144,9 +145,10 @@
   return served;
 }
 
-/// Before: each router goes by its own calls, so that over many routers calls spread evenly. Ten seeds: 0.33
-/// of the streams and 0.998 of the prompts in time before, 0.95 and 0.999 after.
-TEST_CASE("Long streams beside long prompts on a fast and two slow replicas: what callers get") {
+/// Guards against placing long streams beside long prompts on slow replicas. The reference spreads calls
+/// evenly, as many routers do that each consider only their own calls. With it, 0.33 of the streams and 0.998
+/// of the prompts are in time over ten seeds; placement by cost reaches 0.95 and 0.999.
+TEST_CASE("Placement by cost keeps long streams in time beside long prompts on replicas of uneven speed") {
   Served even;
   Served by_cost;
   const auto add = [](Served& sum, const Served& part) {
--- a/tests/balance/load_test.cc
+++ b/tests/balance/load_test.cc
@@ -6,7 +6,7 @@
 #include "balance/load_key.h"
 #include "balance/load_tally.h"
 
-/// What routers tell, the leader's sums, and a router's view of them.
+/// Load reports of routers, the leader's aggregates, and a router's view of them.
 namespace ferryrock::balance {
 namespace {
 
@@ -30,7 +30,7 @@
   return {};
 }
 
-TEST_CASE("The sums are those of each router's last status, whatever came before") {
+TEST_CASE("Aggregates contain exactly the last status of each router") {
   CHECK(rc::check("sums", [] {
     LoadTally tally;
     std::map<std::string, std::uint32_t> last;
@@ -51,7 +51,7 @@
   }));
 }
 
-TEST_CASE("A router that is silent counts no more, and prompts fade from the rate") {
+TEST_CASE("A router that stops reporting is removed from the aggregates, and token rates decay") {
   LoadTally tally;
   tally.accept(status("edge-1", {{7, 3, 9'000, 20'000}}), kStart);
   tally.accept(status("edge-2", {{7, 1, 0, 0}}), kStart);
@@ -69,7 +69,7 @@
   CHECK(tally.loads(kStart + 20s).empty());
 }
 
-TEST_CASE("A router replaces its own part of the sums by what it has there now") {
+TEST_CASE("A router replaces its share of the aggregates by its current local load") {
   LoadBoard board;
   board.onTold({{7, 2, 500, 0}});
   CHECK_FALSE(board.isFresh(kStart));
@@ -82,12 +82,12 @@
   CHECK(use.slowness == Approx(2.2));
   CHECK(board.use(8, {1, 100}).streams == 1);
   CHECK(board.slowness(8) == 1);
-  board.onTold({{7, 40, 90'000, 0}});  // the sums are older than that
+  board.onTold({{7, 40, 90'000, 0}});  // newer than the aggregates, which don't contain it yet
   CHECK(board.use(7, {}).streams == 0);
   CHECK(board.use(7, {}).unread_tokens == 0);
 }
 
-TEST_CASE("Names differ in messages about loads") {
+TEST_CASE("Load keys of different names differ and are stable") {
   CHECK(loadKey("i-7f3a91c2") != loadKey("i-7f3a91c3"));
   CHECK(loadKey("i-7f3a91c2") == loadKey("i-7f3a91c2"));
 }
--- a/tests/balance/pace_table_test.cc
+++ b/tests/balance/pace_table_test.cc
@@ -9,14 +9,14 @@
 
 constexpr TimePoint kStart{1000s};
 
-/// As routers tell it: several streams of a model at a replica, of which the shortest pause counts.
+/// Reports several streams of a model at a replica; only the shortest gap counts.
 void see(PaceTable& table, std::uint32_t model, std::uint32_t replica, std::uint32_t pause_us, TimePoint at) {
   for (const std::uint32_t disturbed_by : {9'000U, 0U, 4'000U}) {
     table.accept({{replica, model, pause_us + disturbed_by}}, at);
   }
 }
 
-TEST_CASE("A replica's slowness is its shortest pause against the best one of the same model") {
+TEST_CASE("Slowness is the ratio of a replica's shortest gap to the lowest one of the same model") {
   PaceTable table;
   see(table, 1, 11, 30'000, kStart);
   see(table, 1, 12, 66'000, kStart);
@@ -25,8 +25,8 @@
   CHECK(slowness.at(12) == Approx(2.2));
 }
 
-/// Model 1 stands on slow replicas alone; that they are slow shows in model 2.
-TEST_CASE("Where all copies of a model are slow, other models that they hold tell") {
+/// Only slow replicas hold model 1; their slowness shows in model 2.
+TEST_CASE("Slowness is derived from other models if all replicas of a model are slow") {
   PaceTable table;
   see(table, 1, 12, 66'000, kStart);
   see(table, 1, 13, 66'000, kStart);
@@ -37,7 +37,7 @@
   CHECK(slowness.at(13) == Approx(2.2).epsilon(0.01));
 }
 
-TEST_CASE("A model on one replica, and one that was hardly seen, tell nothing") {
+TEST_CASE("A model on one replica or with too few reports yields no slowness") {
   PaceTable table;
   see(table, 1, 11, 30'000, kStart);
   see(table, 2, 12, 90'000, kStart);
@@ -45,7 +45,7 @@
   CHECK(table.slowness().empty());
 }
 
-TEST_CASE("A replica that gets no streams is known for as slow for a minute") {
+TEST_CASE("A slow replica without streams stays known as slow for a minute") {
   PaceTable table;
   see(table, 1, 11, 30'000, kStart);
   see(table, 1, 12, 66'000, kStart);
@@ -59,7 +59,7 @@
   CHECK(table.slowness().empty());
 }
 
-TEST_CASE("A replica that was slow for a while counts as quick again after two windows") {
+TEST_CASE("A replica that was slow for a while counts as fast again after two windows") {
   PaceTable table;
   for (TimePoint at = kStart; at < kStart + 20s; at += 1s) {
     see(table, 1, 11, 30'000, at);
