--- a/src/calls/call.h
+++ b/src/calls/call.h
@@ -12,63 +12,63 @@
 #include "tenancy/key_table.h"
 #include "wire/messages.h"
 
-/// Routing of calls, which are requests of any HTTP service. Logic only: headers and bodies stay with the
-/// shells, which know a call by its number.
+/// Routing of calls, that is, of requests to any HTTP service. Logic only: headers and bodies stay with the
+/// shells, which refer to a call by its number.
 namespace ferryrock::calls {
 
-/// A call at one router, and one sending of a call to a replica. Never used again in a process's life.
+/// Identifiers of a call at one router and of an attempt to run a call on a replica. Never reused within a
+/// process.
 using CallNumber = Number<struct CallNumberTag>;
 using AttemptNumber = Number<struct AttemptNumberTag>;
 
-/// What routing needs of a call.
+/// The properties of a call that routing depends on.
 struct CallRequest {
   CallNumber number;
-  RequestId id;  ///< the caller's own
+  RequestId id;  ///< as given by the caller
   std::string host;
-  std::string path;                    ///< without the query
-  std::optional<Duration> time_limit;  ///< that the caller waits
-  ModelName model;                     ///< empty: none is named
+  std::string path;                    ///< without the query string
+  std::optional<Duration> time_limit;  ///< how long the caller waits for the response
+  ModelName model;                     ///< empty: the call names no model
   std::string adapter;
-  std::uint64_t affinity_key = 0;  ///< hash of the prompt's shared parts; 0: none
+  std::uint64_t affinity_key = 0;  ///< hash of the shared parts of the prompt; 0: none
   std::uint64_t prompt_tokens = 0;
-  std::uint64_t shared_tokens = 0;            ///< of the prompt, in parts that other calls share
-  std::uint64_t answer_tokens = 0;            ///< at most
-  bool tells_tokens = false;                  ///< the two counts above came with the call
-  std::optional<std::uint64_t> resume_after;  ///< the caller has this event of the stream already
+  std::uint64_t shared_tokens = 0;            ///< tokens in prompt parts that other calls share
+  std::uint64_t answer_tokens = 0;            ///< upper bound of generated tokens
+  bool tells_tokens = false;                  ///< the call carries the token counts above
+  std::optional<std::uint64_t> resume_after;  ///< ID of the last stream event that the caller has received
   tenancy::Credential credential;
-  wire::CallFingerprint fingerprint;  ///< the same each time that the caller sends the same call
+  wire::CallFingerprint fingerprint;  ///< identical whenever the caller repeats the same call
 };
 
-/// What an answer of a replica means for the call.
+/// The parts of a replica's response that decide how the call proceeds.
 struct AnswerSummary {
   int status = 0;
-  bool unrun = false;  ///< the replica says that it didn't run the call
+  bool unrun = false;  ///< the replica states that it didn't run the call
 };
 
-/// What a replica says of itself in the head of any answer. It holds for the replica's life, whatever becomes
-/// of the call that was answered.
+/// Statements about a replica itself in the headers of a response. They hold for this incarnation of the
+/// replica, regardless of the outcome of the call.
 struct ReplicaNotice {
-  bool leaving = false;                      ///< it takes no new calls
-  std::optional<Duration> retry_after;       ///< it wants no call from this router for so long; above zero
-  std::string unread_retry_after;            ///< what it wrote instead, where that is no time
-  std::optional<double> calls_per_second{};  ///< that it takes from all routers together; 0 or above
-  bool names_no_limit = false;               ///< it ran the call, and names no such limit any more
-  std::string unread_limit{};                ///< what it wrote instead of one, where that is no number
-  std::string unknown_header{};  ///< the first of the headers by which replicas speak of themselves that no
-                                 ///< decision knows
-
-  /// Nothing but, possibly, that no limit is named.
+  bool leaving = false;                      ///< the replica is draining and accepts no new calls
+  std::optional<Duration> retry_after;       ///< requested backoff; above zero
+  std::string unread_retry_after;            ///< value of the header if it couldn't be parsed as a time
+  std::optional<double> calls_per_second{};  ///< accepted from all routers together; 0 or above
+  bool names_no_limit = false;   ///< the replica ran the call and its response states no rate limit
+  std::string unread_limit{};    ///< value of the header if it couldn't be parsed as a number
+  std::string unknown_header{};  ///< name of the first replica header that this build doesn't know
+
+  /// True if the notice contains nothing that has to be handled, except possibly the absence of a limit.
   bool empty() const {
     return !leaving && !retry_after && unread_retry_after.empty() && !calls_per_second &&
            unread_limit.empty() && unknown_header.empty();
   }
 };
 
-/// How an attempt failed without an answer that can be passed on.
+/// Why an attempt ended without a response that can be forwarded.
 enum class AttemptFailure : std::uint8_t {
-  NotSent,   ///< no byte left: not run
-  Unproved,  ///< it may have run
-  Foreign,   ///< the answer belongs to another call; this one may have run
+  NotSent,   ///< no byte was sent, so the call didn't run
+  Unproved,  ///< the call may have run
+  Foreign,   ///< the response belongs to another call; this call may have run
 };
 
 /// Effect: send the call to a replica.
@@ -81,57 +81,59 @@
   bool streaming = false;
   std::uint32_t priority = 0;
   std::optional<std::uint64_t> resume_after;
-  std::optional<TenantName> tenant;  ///< that the caller's key belongs to
-  bool withhold_key = false;         ///< the replica doesn't get the caller's key
+  std::optional<TenantName> tenant;  ///< tenant that owns the caller's key
+  bool withhold_key = false;         ///< the caller's key isn't forwarded to the replica
 };
 
-/// Whether a replica that broke a call off still lives.
+/// Result of probing a replica that broke off a call.
 enum class ProbeOutcome : std::uint8_t {
-  Lives,    ///< it answers at its address
-  Ended,    ///< nothing listens at its address, or another incarnation does
-  Unknown,  ///< nothing was heard in time: it may be cut off, frozen or slow
+  Lives,    ///< the same incarnation responds at its address
+  Ended,    ///< the process has terminated: nothing listens at its address, or another incarnation does
+  Unknown,  ///< no response in time: the replica may be partitioned, frozen or slow
 };
 
-/// Effect: ask whether the replica still lives, over a new connection. Answered by onProbed().
+/// Effect: probe over a new connection whether the replica is still running. The result is passed to
+/// onProbed().
 struct ProbeReplicaEffect {
   ReplicaId replica;
   std::string address;
 };
 
-/// Effect: give the attempt up; its connection is closed, so that the replica stops.
+/// Effect: cancel the attempt. Its connection is closed so that the replica stops.
 struct CancelAttemptEffect {
   AttemptNumber attempt;
 };
 
-/// Effect: the attempt's whole answer goes to the caller.
+/// Effect: deliver the attempt's complete response to the caller.
 struct DeliverAnswerEffect {
   CallNumber call;
   AttemptNumber attempt;
 };
 
-/// Effect: the head of the attempt's stream goes to the caller; events follow.
+/// Effect: forward the headers of the attempt's stream to the caller; events follow.
 struct StartStreamEffect {
   CallNumber call;
   AttemptNumber attempt;
 };
 
-/// Effect: one whole event goes to the caller.
+/// Effect: forward one complete event to the caller.
 struct PassEventEffect {
   CallNumber call;
   std::string bytes;
 };
 
-/// Effect: the stream has ended well.
+/// Effect: finish the stream normally.
 struct FinishStreamEffect {
   CallNumber call;
 };
 
-/// Effect: the stream is broken off in a way that the caller sees.
+/// Effect: abort the stream so that the caller detects the failure.
 struct BreakStreamEffect {
   CallNumber call;
 };
 
-/// Effect: a final answer of the router's own. not_run is certain.
+/// Effect: send a final response generated by the router. not_run is set only if it is certain that the call
+/// didn't run.
 struct RefuseCallEffect {
   CallNumber call;
   ResultCode code = ResultCode::Internal;
@@ -140,7 +142,7 @@
   std::string detail;
 };
 
-/// Effect: open a new connection to the control member in place of the one that stands, which may be dead.
+/// Effect: replace the connection to the control member by a new one, since the present one may be dead.
 struct RenewConnectionEffect {
   NodeName member;
 };
--- a/src/calls/call_router.cc
+++ b/src/calls/call_router.cc
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kDefaultTarget = 1s;
-/// A waiting call looks for a replica again no sooner.
+/// Minimum interval between two attempts of a waiting call to find a replica.
 constexpr Duration kLookAgain = 10ms;
-/// Time that a call needs on a replica at least; with less left it isn't sent.
+/// Minimum time that a call needs on a replica; with less time left it isn't sent.
 constexpr Duration kLeastTimeLeft = 5ms;
-/// How long a call waits for the first catalog, and what share of its time at most.
+/// Maximum wait for the first catalog, as a time and as a share of the call's time limit.
 constexpr Duration kCatalogWait = 1500ms;
 constexpr double kCatalogWaitShare = 0.5;
 constexpr Duration kCrashExpiryInterval = 1s;
@@ -36,7 +36,7 @@
   return text;
 }
 
-/// What a call without a replica waits for, in a log line.
+/// Returns what a call without a replica waits for, as text for log lines.
 std::string_view reasonToWait(ChoiceFailure failure) {
   switch (failure) {
     case ChoiceFailure::NotHeld:
@@ -95,7 +95,7 @@
   state.arrived = now;
   state.deadline = now + state.request.time_limit.value_or(30s);
   if (calls_.size() > settings_.max_calls) {
-    refuse(call, ResultCode::QueueFull, "this router has too many calls", kComeBackSoon, now);
+    refuse(call, ResultCode::QueueFull, "the router has reached its limit of open calls", kComeBackSoon, now);
     return finish(now);
   }
   const Duration whole = state.deadline - now;
@@ -104,7 +104,7 @@
     routeCall(call, now);
     return finish(now);
   }
-  // A router that has just started gets its catalog in a moment.
+  // A router that has just started receives its catalog within a short time.
   unrouted_.insert(number);
   state.last_failure = ResultCode::NoCatalog;
   setTimer(call);
@@ -136,7 +136,8 @@
   state.priority = route->priority;
   state.deadline = std::min(state.deadline, state.arrived + std::chrono::milliseconds(route->timeout_ms));
   if (now >= refuse_from_ && state.deadline > drain_end_) {
-    refuse(call, ResultCode::RouterDraining, "the call might outlast this router", kComeBackAtOnce, now);
+    refuse(call, ResultCode::RouterDraining, "the call's deadline is after the end of the router's drain",
+           kComeBackAtOnce, now);
     return;
   }
   if (tenant == nullptr || charge(call, *tenant, now)) {
@@ -191,7 +192,8 @@
     return;
   }
   if (state.deadline - now < kLeastTimeLeft) {
-    refuse(call, ResultCode::DeadlineTooShort, "no time is left", std::nullopt, now);
+    refuse(call, ResultCode::DeadlineTooShort, "the remaining time is too short to run the call",
+           std::nullopt, now);
     return;
   }
   if (waitForTrial(call, now)) {
@@ -313,11 +315,12 @@
     loads_.expectBack(state.need.service, state.need.model, now + *absence);
   }
   if (opens_first && limited) {
-    refuse(call, ResultCode::ReplicaLimited, "until the first of them has room", absence, now);
+    refuse(call, ResultCode::ReplicaLimited, "no replica has credit left under its rate limit", absence, now);
   } else if (opens_first) {
-    refuse(call, ResultCode::ReplicaBackoff, "until the first of them takes calls again", absence, now);
+    refuse(call, ResultCode::ReplicaBackoff, "all replicas that could run the call are in a backoff", absence,
+           now);
   } else {
-    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is being loaded", absence, now);
+    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is still being loaded", absence, now);
   }
   return true;
 }
@@ -432,13 +435,15 @@
 void CallRouter::onTimer(CallPointer call, TimePoint now) {
   Call& state = call->second;
   if (state.attempt && now >= state.deadline) {
-    abandon(call, ResultCode::DeadlineExpiredRunning, "the time was over while a replica had it", now);
+    abandon(call, ResultCode::DeadlineExpiredRunning, "the deadline expired while the call ran on a replica",
+            now);
   } else if (state.attempt) {
     setTimer(call);
   } else if (state.route == nullptr) {
-    refuse(call, state.last_failure, "no catalog is known and proved yet", kComeBackLater, now);
+    refuse(call, state.last_failure, "the router has not received a catalog and its proof yet",
+           kComeBackLater, now);
   } else if (now >= state.deadline || now >= state.waits_until) {
-    refuse(call, state.last_failure, "no replica could take it in time",
+    refuse(call, state.last_failure, "no replica became available in time",
            state.last_failure == ResultCode::LoadCannotFinishInTime ? kComeBackLater
                                                                     : comeBackAfterRefusals(state, now),
            now);
@@ -488,9 +493,9 @@
   while (!calls_.empty()) {
     const CallPointer call = calls_.begin();
     if (call->second.attempt) {
-      abandon(call, ResultCode::ReplicaFailed, "the router stopped while a replica had it", now);
+      abandon(call, ResultCode::ReplicaFailed, "the router stopped while the call ran on a replica", now);
     } else {
-      refuse(call, ResultCode::RouterDraining, "the router stops", kComeBackAtOnce, now);
+      refuse(call, ResultCode::RouterDraining, "the router is stopping", kComeBackAtOnce, now);
     }
   }
   return finish(now);
--- a/src/calls/call_router.h
+++ b/src/calls/call_router.h
@@ -29,40 +29,41 @@
   ControlFeedSettings feed;
   RetryBudgetSettings retries;
   tenancy::QuotaTolerance quota_tolerance;
-  std::size_t max_calls = 5'000;  ///< at once; further ones are refused
+  std::size_t max_calls = 5'000;  ///< maximum number of open calls; further calls are refused
   quarantine::CrashLedgerSettings quarantine;
   std::uint64_t seed = 1;
 };
 
-/// Counts for metrics.
+/// Counters for metrics.
 struct CallRouterCounts {
   std::uint64_t accepted = 0;
-  std::uint64_t answered = 0;  ///< with a replica's answer
+  std::uint64_t answered = 0;  ///< calls that ended with a response of a replica
   std::uint64_t refused = 0;
-  std::uint64_t broken = 0;  ///< streams
+  std::uint64_t broken = 0;  ///< streams aborted by the router
   std::uint64_t attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumed = 0;
   std::uint64_t caller_gone = 0;
-  std::uint64_t unknown_keys = 0;     ///< calls without a key that a tenant holds
-  std::uint64_t unproved = 0;         ///< refused: the catalog isn't proved
+  std::uint64_t unknown_keys = 0;     ///< refused: no key, or a key that belongs to no tenant
+  std::uint64_t unproved = 0;         ///< refused: the catalog isn't proven to be current
   std::uint64_t quota_spent = 0;      ///< refused: the tenant's quota is used up
-  std::uint64_t quota_asked = 0;      ///< credit was asked for before they ran
-  std::uint64_t quota_unknown = 0;    ///< refused: no leader decides on their credit
-  std::uint64_t replica_ends = 0;     ///< replicas found ended after they broke a call off
-  std::uint64_t quarantined = 0;      ///< refused: too many replicas ended under the call
-  std::uint64_t backoffs = 0;         ///< refusals with a time without calls
-  std::uint64_t leaving_told = 0;     ///< replicas said in an answer that they leave
+  std::uint64_t quota_asked = 0;      ///< calls that waited for quota credit from the leader
+  std::uint64_t quota_unknown = 0;    ///< refused: no leader was available to decide on their credit
+  std::uint64_t replica_ends = 0;     ///< replicas found terminated after they broke off a call
+  std::uint64_t quarantined = 0;      ///< refused: too many replicas crashed while running the call
+  std::uint64_t backoffs = 0;         ///< responses in which a replica requested a backoff
+  std::uint64_t leaving_told = 0;     ///< responses in which a replica announced that it is draining
   std::uint64_t backoff_waits = 0;    ///< calls that waited for the end of a backoff
-  std::uint64_t backoff_refused = 0;  ///< refused: all replicas that could run them are in a backoff
-  std::uint64_t limits_named = 0;     ///< times that a replica's limit began or changed
-  std::uint64_t limit_waits = 0;      ///< calls that waited for credit under a replica's limit
-  std::uint64_t limit_refused = 0;    ///< refused: no replica that could run them has room under its limit
-  std::uint64_t unknown_notices = 0;  ///< answers with a header of the replicas' own that isn't known
+  std::uint64_t backoff_refused = 0;  ///< refused: all replicas that could run the call are in a backoff
+  std::uint64_t limits_named = 0;     ///< number of times that a replica's rate limit was set or changed
+  std::uint64_t limit_waits = 0;      ///< calls that waited for credit under a replica's rate limit
+  std::uint64_t limit_refused = 0;    ///< refused: no replica has credit left under its rate limit
+  std::uint64_t unknown_notices = 0;  ///< responses with a replica header that this build doesn't know
 };
 
-/// One router of calls as logic without input or output. Every call gets exactly one final answer (an answer
-/// delivered, a stream finished or broken, or a refusal) unless its caller leaves first. Used by one thread.
+/// Router of calls as pure logic without I/O. Every call gets exactly one final response (a delivered
+/// response, a finished or aborted stream, or a refusal) unless its caller disconnects first. Not
+/// thread-safe; used by one thread.
 class CallRouter {
  public:
   CallRouter(const CallRouterSettings& settings, EventLog& log, TimePoint now);
@@ -70,36 +71,36 @@
   Effects onCall(CallRequest request, TimePoint now);
   Effects onCallerGone(CallNumber call, TimePoint now);
 
-  /// Events of attempts; those of attempts that have ended are dropped.
+  /// Events of attempts. Events of attempts that have already ended are ignored.
   Effects onAnswer(AttemptNumber attempt, const AnswerSummary& answer, TimePoint now);
   Effects onStreamEvent(AttemptNumber attempt, std::optional<std::uint64_t> id, std::string bytes,
                         TimePoint now);
   Effects onStreamEnd(AttemptNumber attempt, TimePoint now);
   Effects onFailure(AttemptNumber attempt, AttemptFailure failure, const std::string& reason, TimePoint now);
 
-  /// The head of the attempt's answer. Comes before the attempt's other events.
+  /// Handles the headers of the attempt's response. Must be called before the attempt's other events.
   Effects onHead(AttemptNumber attempt, const ReplicaNotice& notice, TimePoint now);
-  /// The head of another answer of this replica.
+  /// Handles the headers of any other response of this replica.
   Effects onNotice(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now);
 
-  /// Answer to a ProbeReplicaEffect.
+  /// Handles the result of a ProbeReplicaEffect.
   Effects onProbed(const ReplicaId& replica, ProbeOutcome outcome, TimePoint now);
 
   Effects receive(const wire::Envelope& envelope, TimePoint now);
   Effects tick(TimePoint now);
   TimePoint nextDeadline() const;
 
-  /// Callers are sent elsewhere from now on. Calls that come all the same are served, from refuse_from on
-  /// only those that end before `end`.
+  /// Starts draining: control is notified to direct callers to other routers. Calls that still arrive are
+  /// served; after refuse_from, only those whose deadline is before `end`.
   Effects beginDrain(TimePoint refuse_from, TimePoint end, TimePoint now);
-  /// The stop can't wait longer: every call that is left gets its final answer.
+  /// Ends draining: every call that is still open gets its final response at once.
   Effects endDrain(TimePoint now);
   bool drained() const { return calls_.empty(); }
-  /// True once a catalog is in force and the router isn't draining.
+  /// True once a catalog is in force, unless the router is draining.
   bool ready() const { return routes_ != nullptr && !draining_; }
   void addSeeds(const std::vector<NodeName>& seeds) { feed_.addSeeds(seeds); }
 
-  /// Where callers may connect, this router among them unless it drains.
+  /// Addresses that callers may connect to, including this router unless it is draining.
   std::vector<std::string> directory() const;
   CatalogVersion catalogVersion() const { return routes_ ? routes_->version() : CatalogVersion{}; }
   const wire::CallLimits* limits() const { return routes_ ? &routes_->catalog().limits : nullptr; }
@@ -108,7 +109,7 @@
   std::size_t knownReplicas() const { return replicas_.size(); }
   const ReplicaNotices& replicaNotices() const { return replicas_.notices(); }
   const ReplicaLimits& replicaLimits() const { return replicas_.limits(); }
-  /// When a leader last confirmed the catalog in force or sent a newer one; nullopt: never.
+  /// Time at which a leader last confirmed the current catalog or sent a newer one; nullopt: never.
   std::optional<TimePoint> controlHeard() const { return feed_.leaderHeard(); }
   const std::set<NodeName>& controlMembers() const { return feed_.members(); }
   const tenancy::CatalogProof& catalogProof() const { return feed_.proof(); }
@@ -119,83 +120,86 @@
     AttemptNumber number;
     ReplicaId replica;
     TimePoint sent{};
-    std::uint64_t unread_tokens = 0;  ///< counted at the replica until it shows a sign of life
-    bool with_credit = false;         ///< of the leader, under its replica's limit
-    std::uint64_t reopening = 0;      ///< round in which it reopens its replica; 0: none, or it was taken
-    int paced_events = 0;             ///< since paced_since
+    std::uint64_t unread_tokens = 0;  ///< in the replica's prefill backlog until the first progress
+    bool with_credit = false;         ///< the leader granted it a credit under the replica's rate limit
+    std::uint64_t reopening = 0;      ///< backoff round that the attempt probes; 0: none, or accepted
+    int paced_events = 0;             ///< number of events since measured_since
     TimePoint paced_since{};
   };
-  /// A credit under the limit of a replica.
+  /// Credit under the rate limit of a replica.
   struct LimitCredit {
     ReplicaId replica;
     TimePoint from{};
   };
-  /// A call's search for one.
+  /// State of a call's requests for such a credit.
   struct CreditSearch {
-    std::optional<std::uint64_t> ask;    ///< under way
-    ReplicaId asked;                     ///< for this replica
+    std::optional<std::uint64_t> ask;    ///< number of the pending request
+    ReplicaId asked;                     ///< replica that the pending request is for
     std::optional<LimitCredit> granted;  ///< not used yet
-    std::set<ReplicaId> refused;         ///< they have none in time,
-    std::optional<TimePoint> opens_at;   ///< and the first of them has one then
+    std::set<ReplicaId> refused;         ///< replicas that refused credit for the time the call can wait
+    std::optional<TimePoint> opens_at;   ///< earliest time of a credit from one of `refused`
   };
   struct Call {
     CallRequest request;
-    std::shared_ptr<const RouteTable> routes;  ///< keeps the route alive
+    std::shared_ptr<const RouteTable> routes;  ///< keeps `route` valid
     const wire::CallRoute* route = nullptr;
     ReplicaNeed need;
     TimePoint arrived{};
     TimePoint deadline{};
-    TimePoint waits_until{};         ///< for a replica
-    std::optional<TimePoint> retry;  ///< when to look for a replica again
+    TimePoint waits_until{};         ///< limit of the wait for a replica
+    std::optional<TimePoint> retry;  ///< next time at which a replica is looked for
     std::optional<Attempt> attempt;
-    CreditSearch credit;                    ///< under the limits of replicas
-    std::optional<TenantName> tenant;       ///< that holds the call's key
-    std::int64_t charged = 0;               ///< to the tenant's quota
-    std::uint64_t account = 0;              ///< that was charged, see tenancy::QuotaReply
-    bool charge_ran = false;                ///< a sending that the charge stands for may have run
-    std::uint32_t priority = 0;             ///< 0 is the most urgent
-    std::uint32_t attempts = 0;             ///< replicas that may have run it
-    std::uint32_t unrun = 0;                ///< sendings that certainly didn't run
-    std::uint32_t ended = 0;                ///< of `attempts`, those whose replica has ended
-    std::optional<ReplicaId> awaits_probe;  ///< of the replica that broke it off; then it may go on
-    std::string failure;                    ///< of the last attempt
+    CreditSearch credit;                    ///< credit under replica rate limits
+    std::optional<TenantName> tenant;       ///< owner of the call's key
+    std::int64_t charged = 0;               ///< amount charged to the tenant's quota
+    std::uint64_t account = 0;              ///< account that was charged, see tenancy::QuotaReply
+    bool charge_ran = false;                ///< the attempt that the charge covers may have run
+    std::uint32_t priority = 0;             ///< 0 is the highest priority
+    std::uint32_t attempts = 0;             ///< attempts that may have run the call
+    std::uint32_t unrun = 0;                ///< attempts that replicas refused without running the call
+    std::uint32_t ended = 0;                ///< number of `attempts` whose replica has crashed
+    std::optional<ReplicaId> awaits_probe;  ///< replica being probed, which broke off the call
+    std::string failure;                    ///< reason of the last failed attempt
     bool counted_missing = false;
     bool may_have_run = false;
-    bool started = false;  ///< the caller got the head of a stream
+    bool started = false;  ///< the headers of the stream were forwarded to the caller
     std::optional<std::uint64_t> last_event;
     TimePoint last_event_at{};
-    Duration longest_pause{};  ///< between events that went to the caller
+    Duration longest_pause{};  ///< longest gap between events forwarded to the caller
     ResultCode last_failure = ResultCode::NoReplica;
-    TimePoint timer{};  ///< as it stands in timers_
+    TimePoint timer{};  ///< current entry in timers_
   };
   using CallPointer = std::map<CallNumber, Call>::iterator;
-  /// A call that a replica broke off; it may have ended since.
+  /// A call that a replica broke off. It may have ended before the probe does.
   struct ProbedCall {
     CallNumber number;
     wire::CallFingerprint fingerprint;
   };
 
-  /// Finds the call's route in the catalog in force and sends it on its way.
+  /// Looks up the call's route in the current catalog and starts processing the call.
   void routeCall(CallPointer call, TimePoint now);
-  /// Continues with a call whose tenant may run it. One that is quarantined is refused before it counts as
+  /// Continues a call that its tenant is allowed to run. A quarantined call is refused before it counts as
   /// demand for its model.
   void beginCall(CallPointer call, TimePoint now);
   // call_router_tenants.cc
-  /// Finds the tenant by the key; false: the call was refused, or waits for a proof of the catalog.
+  /// Identifies the tenant by the call's key. Returns false if the call was refused or waits for a proof of
+  /// the catalog.
   bool identifyTenant(CallPointer call, const wire::CallRoute& route, const wire::Tenant*& tenant,
                       TimePoint now);
   void refuseUnproved(CallPointer call, TimePoint now);
-  /// The key is still a tenant's and the catalog still proved; else the call is refused.
+  /// Checks that the key still belongs to the tenant and that the catalog is still proven; otherwise refuses
+  /// the call and returns false.
   bool mayStillRun(CallPointer call, TimePoint now);
-  /// Charges the tenant's quota; false: the call was refused, or waits for credit.
+  /// Charges the tenant's quota. Returns false if the call was refused or waits for credit.
   bool charge(CallPointer call, const wire::Tenant& tenant, TimePoint now);
   void onQuotaReply(CallPointer call, const tenancy::QuotaReply& reply, TimePoint now);
   void resolveQuotas(const std::vector<tenancy::QuotaResolved>& resolved, TimePoint now);
-  /// The call may have run; another sending of it will be one more use of the tenant's quota.
+  /// Records that the last attempt may have run. A further attempt is charged to the tenant's quota again.
   static void noteMayHaveRun(Call& call);
-  /// A sending after one that may have run: what the replicas of the tenant run counts, not what was asked.
+  /// Charges the quota for an attempt that follows one which may have run: the quota counts what replicas run
+  /// for the tenant, not what callers request.
   void chargeAnotherRun(Call& call, TimePoint now);
-  /// A call that is certain not to run gives its credit back.
+  /// Refunds the quota charge of a call that certainly doesn't run.
   void giveBack(Call& call, TimePoint now);
   void tellQuotaUse(TimePoint now);
   void routeWaiting(TimePoint now);
@@ -204,54 +208,55 @@
   void noteReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening);
   void waitForReplica(CallPointer call, const Choice& choice, TimePoint now);
   static WaitingCall waitingCall(const Call& call);
-  /// Sends the caller away until its model is loaded, or until a replica takes calls again, if that serves it
-  /// better; true if the call has ended.
+  /// Refuses the call with a retry time, if the caller is served better that way: at that time its model is
+  /// expected to be loaded, or a replica to accept calls again. Returns true if the call has ended.
   bool sendAway(CallPointer call, const Choice& choice, TimePoint now);
-  /// After which time a caller may come back who is refused since replicas took the call nowhere.
+  /// Returns the retry time for a caller whose call was refused because no replica accepted it.
   Duration comeBackAfterRefusals(const Call& call, TimePoint now);
   void dispatchWaiting(TimePoint now);
-  /// Ends the attempt's books; nullopt: it isn't known any more.
+  /// Returns the call of the attempt; nullopt if the attempt has ended.
   std::optional<CallPointer> callOf(AttemptNumber attempt);
   Replica* release(Call& call);
-  /// The replica runs the attempt.
+  /// Called when the replica has accepted the attempt and runs it.
   void noteTaken(Attempt& attempt);
   // call_router_limits.cc
-  /// Lets the call use its credit if it has one by now; one that has lapsed is dropped.
+  /// Selects the call's credit if it may be used now; an expired credit is dropped.
   void useCredit(Call& call, TimePoint now);
-  /// Asks for credit under the limit of a replica that hasn't refused it yet.
+  /// Requests credit under the rate limit of a replica that hasn't refused it yet.
   void seekCredit(CallPointer call, const Choice& choice, TimePoint now);
-  /// The call is sent: with its credit, or with what this router may send without one.
+  /// Consumes the call's credit, or the router's local allowance, when the call is sent.
   void spendCredit(Call& call, Attempt& attempt, TimePoint now);
-  /// The call needs none any more. What it was granted and didn't use is given back.
+  /// Releases the call's credit. A pending request is abandoned and an unused credit is returned to the
+  /// leader.
   void dropCredit(Call& call);
   void resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now);
   void resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now);
   void tellLimits(TimePoint now);
   // call_router_crashes.cc
-  /// Has the replica that broke the call off probed.
+  /// Starts a probe of the replica that broke off the call, unless one is pending.
   void probe(Call& call, const ReplicaId& replica, const std::string& address);
   void noteReplicaEnd(const ReplicaId& replica, const std::vector<ProbedCall>& calls, TimePoint now);
-  /// The call was run to an answer, so it ends no replicas.
+  /// Records that the call ran to completion, which clears it of suspicion.
   void noteRun(const Call& call, TimePoint now);
   void takeCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now);
-  /// Keeps a call that one more end quarantines to replicas of its own. True: it waits until all routers can
-  /// know of the calls that it must not meet there.
+  /// Restricts a call that would be quarantined after one more crash to replicas of its own. Returns true if
+  /// the call waits until all routers know the other suspected calls, with which it must not share a replica.
   bool waitForTrial(CallPointer call, TimePoint now);
-  /// Ends the calls of this fingerprint that no replica shows progress on.
+  /// Ends the calls with this fingerprint, except streams that have delivered events.
   void enforceQuarantine(const wire::CallFingerprint& fingerprint, TimePoint now);
   void refuseQuarantined(CallPointer call, TimePoint now);
   void tellMembers(const std::vector<wire::CrashRecord>& records);
-  /// sent: when the answered call left; nullopt: not known.
+  /// sent: time at which the call that was answered was sent; nullopt: unknown.
   void takeNotice(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
                   TimePoint now);
   void takeLimit(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
                  TimePoint now);
-  /// What can't be read of a notice, or isn't known.
+  /// Counts and logs headers that are malformed or unknown.
   void noteUnread(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now);
   void notePause(Call& call, TimePoint now);
-  /// The attempt's prompt has been read.
+  /// Removes the prompt from the replica's prefill backlog.
   void notePromptRead(Attempt& attempt);
-  /// counts: the sending reached a replica, so that the next one is paid from the retry budget.
+  /// counts: the attempt reached a replica, so that the next one is charged to the retry budget.
   void retryUnrun(CallPointer call, ResultCode reason, bool counts, TimePoint now);
   void retryMaybeRun(CallPointer call, ResultCode reason, const std::string& detail, TimePoint now);
   void noteStreamTime(const Call& call, TimePoint now);
@@ -261,14 +266,14 @@
   void refuse(CallPointer call, ResultCode code, const std::string& detail,
               std::optional<Duration> retry_after, TimePoint now);
   void breakStream(CallPointer call, const std::string& reason, TimePoint now);
-  /// Gives a call up whose replica may still have it.
+  /// Cancels the running attempt of the call and refuses the call.
   void abandon(CallPointer call, ResultCode code, const std::string& detail, TimePoint now);
   void startStream(CallPointer call, AttemptNumber attempt, TimePoint now);
   void erase(CallPointer call);
   void onTimer(CallPointer call, TimePoint now);
   void setTimer(CallPointer call);
   void applyUpdate(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now);
-  /// Versions go up only, whoever tells them.
+  /// Applies a catalog with a higher version, regardless of the member that sent it.
   void takeCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
                    std::optional<TimePoint> leader_heard, TimePoint now);
   void noteTable(const wire::ServiceUpdate& update, TimePoint now);
@@ -291,21 +296,24 @@
   std::map<AttemptNumber, CallNumber> attempts_;
   std::set<std::pair<TimePoint, CallNumber>> timers_;
   std::set<CallNumber> waiting_;
-  std::set<CallNumber> unrouted_;                   ///< wait for the first catalog, or its first proof
-  std::set<CallNumber> awaiting_credit_;            ///< of their tenants
-  std::map<std::uint64_t, CallNumber> limit_asks_;  ///< under way
-  std::map<std::tuple<ServiceName, ModelName, std::string>, std::uint32_t> arrivals_;  ///< since last told
+  std::set<CallNumber> unrouted_;         ///< waiting for the first catalog or its first proof
+  std::set<CallNumber> awaiting_credit_;  ///< waiting for quota credit of their tenants
+  /// Calls by the number of their pending credit request.
+  std::map<std::uint64_t, CallNumber> limit_asks_;
+  /// Number of calls since the last report to the leader, by service, model and adapter.
+  std::map<std::tuple<ServiceName, ModelName, std::string>, std::uint32_t> arrivals_;
   CallRouterCounts counts_;
-  std::uint64_t table_changes_ = 0;  ///< entries of the replica table changed since the last line of it
+  std::uint64_t table_changes_ = 0;  ///< changed entries of the replica table since it was last logged
   TimePoint next_table_note_{};
   TimePoint next_unread_note_{};
   std::uint64_t next_attempt_ = 1;
-  std::map<RouteName, Duration> stream_times_;  ///< that streams of a route took, as a moving mean
+  std::map<RouteName, Duration> stream_times_;  ///< moving average of the duration of a route's streams
   quarantine::CrashLedger crashes_;
-  std::map<ReplicaId, std::vector<ProbedCall>> probes_;  ///< under way, with the calls that it broke off
+  /// Pending probes, each with the calls that the replica broke off.
+  std::map<ReplicaId, std::vector<ProbedCall>> probes_;
   TimePoint next_crash_expiry_{};
   bool draining_ = false;
-  TimePoint refuse_from_ = TimePoint::max();  ///< while draining
+  TimePoint refuse_from_ = TimePoint::max();  ///< set while draining
   TimePoint drain_end_ = TimePoint::max();
   bool dispatch_wanted_ = false;
   Effects effects_;
--- a/src/calls/call_router_attempts.cc
+++ b/src/calls/call_router_attempts.cc
@@ -4,25 +4,25 @@
 #include "calls/call_router.h"
 #include "quarantine/call_fingerprint.h"
 
-/// The part of CallRouter that follows attempts: answers, events, failures, and what may be sent again.
+/// The part of CallRouter that handles attempts: responses, events, failures and retries.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// Sendings that replicas refused unrun, per call, before the caller is told.
+/// Maximum number of refusals by replicas that didn't run the call, before the caller is refused.
 constexpr std::uint32_t kMostUnrun = 3;
-/// A replica that refused as full or leaving gets nothing for a moment.
+/// A replica that refused a call because it is full or draining gets no calls for this time.
 constexpr Duration kRefusalPause = 100ms;
-/// Time that a call needs on a replica at least; with less left it isn't sent.
+/// Minimum time that a call needs on a replica; with less time left it isn't sent.
 constexpr Duration kLeastTimeLeft = 5ms;
 constexpr int kFirstErrorStatus = 500;
 constexpr int kMisdirected = 421;
 constexpr int kUnavailable = 503;
-/// Between two log lines of a notice that can't be read.
+/// Minimum interval between two log lines about unreadable notices.
 constexpr Duration kUnreadNoteInterval = 1s;
-/// Over which pauses of a stream are averaged: a router with a tenth of a core reads two or three events at
-/// once.
+/// Number of gaps in a stream that are averaged. Averaging is needed because a router that gets a tenth of a
+/// core reads two or three events at once.
 constexpr int kPacedEvents = 8;
 
 std::string_view view(const std::string& text) {
@@ -56,7 +56,8 @@
   }
 }
 
-/// The replica may be forgotten by this if the leader has stopped listing it; then nullptr.
+/// Ends the attempt. Returns nullptr if the replica was removed from the table because the leader no longer
+/// lists it.
 Replica* CallRouter::release(Call& call) {
   notePromptRead(*call.attempt);
   const Attempt attempt = *call.attempt;
@@ -217,7 +218,8 @@
   return finish(now);
 }
 
-/// The head and the first event come together: they say nothing of a pace.
+/// Records the gap since the previous event. The first event is read together with the headers, so it
+/// provides no gap.
 void CallRouter::notePause(Call& call, TimePoint now) {
   const Duration pause = now - std::exchange(call.last_event_at, now);
   call.longest_pause = std::max(call.longest_pause, pause);
@@ -275,7 +277,7 @@
 }
 
 void CallRouter::noteStreamTime(const Call& call, TimePoint now) {
-  // A stream in sixteen moves the mean by its whole difference.
+  // Weight of 1/16 for the new value in the moving average.
   constexpr int kWeight = 16;
   const Duration took = now - call.arrived;
   const auto [mean, fresh] = stream_times_.try_emplace(call.route->name, took);
@@ -332,8 +334,9 @@
   return finish(now);
 }
 
-/// The last sending certainly didn't run, so the call may go to another replica whatever its kind. One that
-/// reached no replica is no load on the service: only ejections and the call's time limit those.
+/// The last attempt certainly didn't run, so the call may be sent to another replica whatever its kind. An
+/// attempt that reached no replica puts no load on the service, so it isn't charged to the retry budget; it
+/// is limited only by ejections and the call's deadline.
 void CallRouter::retryUnrun(CallPointer call, ResultCode reason, bool counts, TimePoint now) {
   Call& state = call->second;
   --state.attempts;
@@ -344,10 +347,10 @@
     ++counts_.retries;
     dispatch(call, now);
   } else if (state.started) {
-    breakStream(call, "no replica took the rest of the stream", now);
+    breakStream(call, "no replica accepted the rest of the stream", now);
   } else {
-    refuse(call, tries_left ? ResultCode::RetryBudgetSpent : reason, "replicas refused it unrun",
-           comeBackAfterRefusals(state, now), now);
+    refuse(call, tries_left ? ResultCode::RetryBudgetSpent : reason,
+           "replicas refused the call before running it", comeBackAfterRefusals(state, now), now);
   }
 }
 
@@ -356,7 +359,8 @@
          (call.route->kind == wire::CallKind::Streaming && call.route->resumable);
 }
 
-/// Replicas that have ended don't count: a call that lost several of them to others may go on.
+/// Attempts whose replica crashed aren't counted, so that a call which lost several replicas to crashes
+/// caused by other calls may be retried.
 bool CallRouter::mayRunAgain(const Call& call) {
   return isRepeatable(call) && call.attempts - call.ended < call.route->max_attempts;
 }
--- a/src/calls/call_router_control.cc
+++ b/src/calls/call_router_control.cc
@@ -4,14 +4,14 @@
 
 #include "calls/call_router.h"
 
-/// The part of CallRouter that talks to the control members: catalogs and replica tables that come, and what
-/// calls want, which is told.
+/// The part of CallRouter that communicates with the control members: it applies catalogs and replica tables,
+/// and reports the demand of its calls.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// Between two log lines of the replica table.
+/// Minimum interval between two log lines about the replica table.
 constexpr Duration kTableNoteInterval = 1s;
 
 std::string_view view(const std::string& text) {
@@ -101,8 +101,8 @@
   return addresses;
 }
 
-/// A line for each replica that leaves or is gone. What else changes in the table, thousands of entries a
-/// minute in a large fleet, is counted.
+/// Logs each replica that is draining or removed. Other changes of the table, thousands of entries a minute
+/// in a large fleet, are only counted.
 void CallRouter::noteTable(const wire::ServiceUpdate& update, TimePoint now) {
   for (const wire::RoutedReplica& replica : update.replicas) {
     const Replica* known = replicas_.find(replica.id);
--- a/src/calls/call_router_crashes.cc
+++ b/src/calls/call_router_crashes.cc
@@ -4,24 +4,25 @@
 #include "calls/call_router.h"
 #include "quarantine/call_fingerprint.h"
 
-/// The part of CallRouter that keeps calls which end replicas away from further ones: it has a replica probed
-/// that broke a call off, notes which calls it had if it has ended, and exchanges that with the members.
+/// The part of CallRouter that keeps calls which crash replicas away from further ones. It has a replica
+/// probed that broke off a call, records the affected calls if the replica has terminated, and exchanges
+/// these records with the control members.
 namespace ferryrock::calls {
 namespace {
 
 using quarantine::Standing;
 
-/// From a call's second end until all routers know of it and of the calls beside it: router to member to
-/// router, 2 to 6 ms on the way and as much in processes that have a tenth of a core, with room for one
-/// delay.
+/// Time from a call's second crash until all routers know of it and of the other suspected calls. Propagation
+/// from router to member to router takes 2 to 6 ms on the network, and as much again in processes that get a
+/// tenth of a core; the rest allows for one further delay.
 constexpr Duration kTrialSpread = std::chrono::milliseconds(50);
 
 }  // namespace
 
-/// A broken connection proves nothing: it may have been reset on its way, or an answer cut short. Several
-/// calls break off together when a replica ends; one probe answers for all of them. A call that may be sent
-/// again waits for it, a few milliseconds as a rule: sent at once it could end the next replica, among as
-/// many other calls, before anybody knows of the first.
+/// A broken connection proves nothing: it may have been reset on the network, or a response may have been
+/// truncated. When a replica crashes, several calls break off together, and one probe decides for all of
+/// them. A call that may be retried waits for the result, usually for a few milliseconds: retried at once, it
+/// could crash the next replica among as many other calls before any router knows of the first crash.
 void CallRouter::probe(Call& call, const ReplicaId& replica, const std::string& address) {
   std::vector<ProbedCall>& calls = probes_[replica];
   if (calls.empty()) {
@@ -136,8 +137,8 @@
   return true;
 }
 
-/// A stream that has shown events goes on: what ends its replica ends it before, and its caller has a part of
-/// its answer.
+/// A stream that has delivered events continues: a call that crashes its replica does so before the first
+/// event, and the caller already has part of the response.
 void CallRouter::enforceQuarantine(const wire::CallFingerprint& fingerprint, TimePoint now) {
   if (crashes_.standing(fingerprint) != Standing::Quarantined) {
     return;
@@ -168,11 +169,12 @@
               {"route", std::string_view(call->second.route->name.value)},
               {"ends", static_cast<std::int64_t>(crashes_.ends(fingerprint))},
               {"last_end_ms_ago", toMilliseconds(crashes_.age(fingerprint, now))}});
-  refuse(call, ResultCode::CallQuarantined, "its fingerprint is " + quarantine::toText(fingerprint),
+  refuse(call, ResultCode::CallQuarantined, "call fingerprint: " + quarantine::toText(fingerprint),
          crashes_.left(fingerprint, now), now);
 }
 
-/// All of them: any may lead next, and whoever leads tells the other routers.
+/// Sends the records to all members: any of them may become leader, and the leader forwards them to the other
+/// routers.
 void CallRouter::tellMembers(const std::vector<wire::CrashRecord>& records) {
   if (records.empty()) {
     return;
--- a/src/calls/call_router_limits.cc
+++ b/src/calls/call_router_limits.cc
@@ -2,12 +2,13 @@
 
 #include "calls/call_router.h"
 
-/// The part of CallRouter that finds calls a credit where replicas take so many calls a second from all
+/// The part of CallRouter that obtains credits for calls to replicas which limit the rate of calls from all
 /// routers together.
 namespace ferryrock::calls {
 namespace {
 
-/// Replicas that one call asks for credit, one after the other, before it counts as known that none has room.
+/// Number of replicas that credit is requested for on behalf of one call, one after the other, before none is
+/// considered to have capacity.
 constexpr std::size_t kMostAsked = 3;
 
 std::string_view view(const std::string& text) {
@@ -31,10 +32,10 @@
   }
 }
 
-/// Of several replicas the one with the highest limit is asked for first.
+/// Requests credit for the replica with the highest rate limit first.
 void CallRouter::seekCredit(CallPointer call, const Choice& choice, TimePoint now) {
   Call& state = call->second;
-  // Its replica takes no calls any more, or not just now, for another reason.
+  // The replica that the credit is for can't be used now for another reason.
   if (state.need.credit) {
     replicas_.limits().giveBack(*state.need.credit);
     state.credit.granted.reset();
--- a/src/calls/call_router_tenants.cc
+++ b/src/calls/call_router_tenants.cc
@@ -2,8 +2,8 @@
 
 #include "calls/call_router.h"
 
-/// The part of CallRouter that decides whether a call's tenant may run it: its key, the proof that the
-/// catalog which lists the key is the newest, and the tenant's quota.
+/// The part of CallRouter that decides whether a call's tenant may run it, based on the call's key, the proof
+/// that the catalog with the key is current, and the tenant's quota.
 namespace ferryrock::calls {
 namespace {
 
@@ -11,7 +11,7 @@
 using tenancy::Credential;
 using tenancy::QuotaVerdict;
 
-/// A cell without a leader has one again after about this time.
+/// Time within which a cell without a leader usually elects one.
 constexpr Duration kComeBackUnproved = 1s;
 
 }  // namespace
@@ -24,7 +24,8 @@
   if (!routes_->keys().inUse() || needs_none) {
     return true;
   }
-  // An older catalog neither allows a key nor refuses one: a newer may have taken it away, or brought it.
+  // A catalog that may be outdated can neither accept nor reject a key: a newer one may have removed or added
+  // it.
   if (!feed_.proof().holds(now)) {
     refuseUnproved(call, now);
     return false;
@@ -39,7 +40,8 @@
   return true;
 }
 
-/// A router that has just started gets its first proof in a moment. One that has lost it is cut off.
+/// A router that has just started receives its first proof within a short time, so the call waits. A router
+/// whose proof has expired is cut off from control.
 void CallRouter::refuseUnproved(CallPointer call, TimePoint now) {
   Call& state = call->second;
   if (!feed_.proof().provedAt() && state.route == nullptr) {
@@ -49,7 +51,7 @@
     return;
   }
   ++counts_.unproved;
-  refuse(call, ResultCode::CatalogUnproved, "the control cell was out of reach for too long",
+  refuse(call, ResultCode::CatalogUnproved, "the control cell has been unreachable for too long",
          kComeBackUnproved, now);
 }
 
@@ -65,7 +67,7 @@
   const wire::Tenant* holder = routes_->keys().find(state.request.credential.key);
   if (routes_->keys().inUse() && (holder == nullptr || holder->name != state.tenant)) {
     ++counts_.unknown_keys;
-    refuse(call, ResultCode::UnknownKey, "the key was taken away", std::nullopt, now);
+    refuse(call, ResultCode::UnknownKey, "the key was removed from the catalog", std::nullopt, now);
     return false;
   }
   return true;
@@ -110,8 +112,8 @@
     refuse(call, ResultCode::QuotaSpent, "", reply.retry_after, now);
   } else {
     ++counts_.quota_unknown;
-    refuse(call, ResultCode::ControlUnavailable, "no leader decides on the tenant's quota", reply.retry_after,
-           now);
+    refuse(call, ResultCode::ControlUnavailable, "no leader is available to decide on the tenant's quota",
+           reply.retry_after, now);
   }
 }
 
@@ -129,7 +131,7 @@
   call.charge_ran = true;
 }
 
-/// It isn't asked for: the call was granted its run, and its caller waits.
+/// The leader isn't asked for this credit: the call was granted its run already, and its caller is waiting.
 void CallRouter::chargeAnotherRun(Call& call, TimePoint now) {
   if (call.charged > 0 && std::exchange(call.charge_ran, false)) {
     quota_.chargeAgain(*call.tenant, call.charged, now);
--- a/src/calls/control_feed.cc
+++ b/src/calls/control_feed.cc
@@ -5,15 +5,16 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Hurried statuses keep this distance.
+/// Minimum interval between statuses, also for expedited ones.
 constexpr Duration kLeastDistance = std::chrono::milliseconds(10);
-/// A proof that ends sooner is asked to be renewed out of turn; regular updates renew it twice a second.
+/// A proof that expires within this time is requested from the leader explicitly; regular updates renew it
+/// twice a second.
 constexpr Duration kProofInHand = std::chrono::milliseconds(3000);
 constexpr unsigned kTermShift = 40;
 
-/// While no leader is known, members are asked this much more often than they want to hear.
+/// While no leader is known, members are queried this many times as often as they requested.
 constexpr int kAskedAtOnce = 8;
-/// A leader that was silent for half as many of the intervals that it asked for is taken for lost.
+/// The leader is considered lost after half this many status intervals without contact.
 constexpr int kSilentIntervals = 5;
 
 bool sameTerm(LogIndex left, LogIndex right) {
@@ -25,7 +26,7 @@
 bool ControlFeed::accept(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now) {
   noteAnswer(from);
   if (update.revision < revision_) {
-    return false;  // of a leader that was replaced, or overtaken on its way
+    return false;  // from a replaced leader, or delivered out of order
   }
   leader_ = from;
   named_leader_ = from;
@@ -44,14 +45,15 @@
   return taken;
 }
 
-/// Changes of the table of all replicas, or the whole of it.
+/// Accepts changes of the table of all replicas, or the full table.
 bool ControlFeed::acceptTable(const wire::ServiceUpdate& update) {
   const bool whole = update.base == LogIndex{};
   const bool follows = table_ == 0 && sameTerm(update.base, revision_) && update.base <= revision_;
   return whole || follows;
 }
 
-/// Such a table is listed whole, or known by its content: also from a leader that didn't list it itself.
+/// Accepts a subscribed table if it is listed in full, or if its content digest matches the current table.
+/// The match also holds for updates of a leader that didn't send the table itself.
 bool ControlFeed::acceptPart(const wire::ServiceUpdate& update) {
   const bool whole = update.base == LogIndex{};
   return whole || update.table == table_;
@@ -72,7 +74,7 @@
   }
 }
 
-/// Where members want to hear seldom, the leader tells them what they need of routers.
+/// Where members requested longer intervals, the leader passes the required information on to them.
 void ControlFeed::tellAll() {
   tell_all_ = asked_interval_.empty();
   hurried_ = true;
@@ -89,7 +91,7 @@
   return std::max(settings_.leader_interval, leader_asked_interval_);
 }
 
-/// While no leader is known. Members that want to hear seldom have many routers that ask.
+/// Interval while no leader is known. Members that request long intervals have many routers that query them.
 Duration ControlFeed::askInterval() const {
   Duration longest = Duration::zero();
   for (const auto& [member, interval] : asked_interval_) {
@@ -126,7 +128,8 @@
 TimePoint ControlFeed::nextDeadline() const {
   TimePoint next = hurried_ ? last_status_ + kLeastDistance : TimePoint::max();
   next = std::min(next, next_leader_status_);
-  // Members that want to hear seldom are told with the leader: a step of its own for each would tell it too.
+  // Members that requested longer intervals get their statuses together with the leader's: a separate step
+  // for each would also send a status to the leader.
   if (leader_.empty() || !asked_interval_.empty()) {
     return next;
   }
@@ -138,7 +141,8 @@
   return next;
 }
 
-/// Those whose turn it is; all while no leader is known, unless they asked to hear seldom: then a few.
+/// Returns the members that are due. While no leader is known these are all members, or only a few if longer
+/// intervals were requested.
 std::set<NodeName> ControlFeed::membersDue(TimePoint now) {
   if (leader_.empty() && !tell_all_ && !asked_interval_.empty()) {
     return membersToAsk();
@@ -154,7 +158,7 @@
   return due;
 }
 
-/// The member that others name as leader, and the next one of all.
+/// Returns the leader named by other members, and the next member in turn.
 std::set<NodeName> ControlFeed::membersToAsk() {
   std::set<NodeName> asked;
   if (!named_leader_.empty()) {
--- a/src/calls/expected_loads.cc
+++ b/src/calls/expected_loads.cc
@@ -3,7 +3,7 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Callers come back a little later than they were told.
+/// Callers return slightly later than their retry time.
 constexpr Duration kBackLate = std::chrono::milliseconds(700);
 
 }  // namespace
--- a/src/calls/expected_loads.h
+++ b/src/calls/expected_loads.h
@@ -13,19 +13,20 @@
 
 namespace ferryrock::calls {
 
-/// Models that control is having loaded, and the callers who were told to come back for them. Used by one
-/// thread.
+/// Models that control is loading, and the callers who were asked to retry once they are loaded. Not
+/// thread-safe; used by one thread.
 class ExpectedLoads {
  public:
   using Key = std::pair<ServiceName, ModelName>;
 
   void accept(const std::vector<wire::ComingModel>& coming, TimePoint now);
-  /// When the model should serve; nullopt: not known, or past.
+  /// Time at which the model is expected to be loaded; nullopt: unknown or past.
   std::optional<TimePoint> readyAt(const ServiceName& service, const ModelName& model, TimePoint now) const;
 
-  /// A caller was sent away until then; its model stays wanted.
+  /// Records a caller who was refused and is expected to retry at this time. Until then it counts as demand
+  /// for the model.
   void expectBack(const ServiceName& service, const ModelName& model, TimePoint at);
-  /// Callers that are still expected, by what they will ask for.
+  /// Returns the number of callers who are still expected, by service and model.
   std::map<Key, std::uint32_t> expectedBack(TimePoint now);
 
  private:
--- a/src/calls/model_interests.h
+++ b/src/calls/model_interests.h
@@ -11,16 +11,17 @@
 
 namespace ferryrock::calls {
 
-/// The models, and adapters of them, that a router's calls used of late: what its replica table has to list
-/// where control doesn't tell every router every replica. Each is kept for some time after its last call, so
-/// that the next one needs no question to control. Bounded: the latest are kept. Used by one thread.
+/// The models and adapters that a router's calls used recently. The router subscribes to their replicas if
+/// control doesn't send every replica to every router. An entry is kept for some time after its last call, so
+/// that the next call needs no query to control. Bounded; the most recent entries are kept. Not thread-safe;
+/// used by one thread.
 class ModelInterests {
  public:
   void note(const ServiceName& service, const ModelName& model, const std::string& adapter, TimePoint now);
-  /// Those that are kept, in the order of their names.
+  /// Returns the current entries, ordered by name.
   std::vector<wire::ModelInterest> list(TimePoint now);
 
-  /// After the last call.
+  /// Retention after the last call.
   static constexpr Duration kKeptFor = std::chrono::seconds(30);
   static constexpr std::size_t kMostKept = 64;
 
--- a/src/calls/replica_limits.cc
+++ b/src/calls/replica_limits.cc
@@ -8,18 +8,20 @@
 
 using namespace std::chrono_literals;
 
-/// Limits are remembered for so many replicas, as many as the largest planned fleet has in need at once.
+/// Maximum number of replicas whose limits are kept, as many as need one at the same time in the largest
+/// planned fleet.
 constexpr std::size_t kRememberedLimits = 4'000;
-/// A leader tells each router something every 250 ms; one that is silent for longer may be gone.
+/// A leader sends an update to each router every 250 ms; after this time without contact it may be gone.
 constexpr Duration kLeaderSilence = 700ms;
-/// An answer takes about 5 ms. A leader that is busy or gone isn't waited for any longer.
+/// A reply takes about 5 ms. A leader that is busy or gone isn't waited for any longer than this.
 constexpr Duration kAnswerLimit = 250ms;
-/// An answer that comes later finds no ask any more; what it grants is lost to the replica's callers.
+/// Requests are kept for this long, so that a late grant can be returned. A grant that arrives later still is
+/// lost to the replica's callers.
 constexpr Duration kLateAnswer = 1s;
-/// Part of a limit that all routers together use without a leader, as an expectation: in any 4 s a leader may
-/// have granted all of it before.
+/// Share of a limit that all routers together use without a leader, on average. It leaves room for the calls
+/// that a leader may have granted in the 4 s before.
 constexpr double kOwnPartShare = 0.5;
-/// Part of a limit that spare credits are asked for at most.
+/// Maximum share of a limit for which spare credits are requested.
 constexpr double kSpareShare = 0.5;
 constexpr Duration kLeastSpareInterval = 1s;
 constexpr std::size_t kMostReturned = 1'000;
@@ -53,7 +55,7 @@
   Limit& limit = known->second;
   limit.heard = now;
   const bool same = per_second == limit.per_second;
-  // A higher limit is the later word only if its call left after the lower one was last named.
+  // A higher limit counts as the newer value only if its call was sent after the lower limit was last stated.
   const bool later = sent && *sent > limit.named;
   if (!same && !later && per_second > limit.per_second) {
     return Change::None;
@@ -77,7 +79,8 @@
   return Change::Ended;
 }
 
-/// What this router heard itself is kept: it is as new, and asks tell the leader how old it is.
+/// A limit that this router received itself is kept: it is as recent, and credit requests report its age to
+/// the leader.
 ReplicaLimits::Change ReplicaLimits::onTold(const ReplicaId& replica, double per_second, TimePoint now) {
   if (limits_.contains(replica)) {
     return Change::None;
@@ -92,7 +95,7 @@
   return limit == limits_.end() ? std::nullopt : std::optional(limit->second.per_second);
 }
 
-/// The one that was named the longest ago goes.
+/// Evicts the limit that was stated the longest time ago.
 void ReplicaLimits::keepBounded() {
   if (limits_.size() <= kRememberedLimits) {
     return;
@@ -120,7 +123,7 @@
   routers_ = std::max(1U, routers);
 }
 
-/// All routers together ask as often, however many they are.
+/// Scales with the number of routers, so that the total rate of requests doesn't depend on it.
 Duration ReplicaLimits::spareInterval(const Limit& limit) const {
   const double asked_per_second = kSpareShare * std::max(limit.per_second, wire::kLeastLimitRate);
   const std::chrono::duration<double> interval(routers_ / asked_per_second);
@@ -136,8 +139,9 @@
   return found != limits_.end() && hasSpare(found->second, now);
 }
 
-/// Each silence begins with a part of one call that is drawn, so that however many routers there are, and
-/// however small their parts, all of them together send what their parts allow and no burst at its beginning.
+/// Each leaderless period starts with a random fraction of one call. This way all routers together send what
+/// their shares allow, without an initial burst, however many routers there are and however small their
+/// shares.
 void ReplicaLimits::growOwnPart(Limit& limit, TimePoint now) {
   if (limit.own_part_of != silenceBegan()) {
     limit.own_part_of = silenceBegan();
--- a/src/calls/replica_limits.h
+++ b/src/calls/replica_limits.h
@@ -17,34 +17,34 @@
   std::uint64_t seed = 1;
 };
 
-/// An ask for credit that has ended.
+/// Outcome of a credit request.
 struct LimitResolved {
   enum class Verdict : std::uint8_t {
-    Granted,     ///< the call may be sent there from `at` on
-    Refused,     ///< there is no credit for it before `at`
-    Unanswered,  ///< no leader decides
+    Granted,     ///< the call may be sent to the replica from `at` on
+    Refused,     ///< no credit is available before `at`
+    Unanswered,  ///< no leader decided in time
   };
   std::uint64_t ask = 0;
   Verdict verdict = Verdict::Unanswered;
   TimePoint at{};
 };
 
-/// Counts for metrics.
+/// Counters for metrics.
 struct ReplicaLimitCounts {
   std::uint64_t asked = 0;
   std::uint64_t granted = 0;
   std::uint64_t refused = 0;
   std::uint64_t unanswered = 0;
   std::uint64_t returned = 0;
-  std::uint64_t sent = 0;   ///< to replicas with a limit
-  std::uint64_t alone = 0;  ///< of those, by this router's own part, without a leader
+  std::uint64_t sent = 0;   ///< calls sent to replicas with a rate limit
+  std::uint64_t alone = 0;  ///< part of `sent` on the local allowance, without a leader
 };
 
-/// One router's part in the limits that replicas name for all routers together; the leader's is
-/// services::LimitLedger. A call for such a replica needs a credit of the leader. While none is heard, the
-/// router goes by its own part of the limit: a small one, drawn so that all routers together stay below the
-/// limit. Kept by the replica's life and apart from the replica table, which a new leader lists anew. Used by
-/// one thread.
+/// One router's part in enforcing the rate limits that replicas set for all routers together; the leader's
+/// part is services::LimitLedger. A call to such a replica needs a credit from the leader. While there is no
+/// contact with a leader, the router uses its local allowance: a small share of the limit with a random start
+/// value, so that all routers together stay below the limit. Limits are kept per replica incarnation and
+/// apart from the replica table, which a new leader sends afresh. Not thread-safe; used by one thread.
 class ReplicaLimits {
  public:
   explicit ReplicaLimits(const ReplicaLimitsSettings& settings)
@@ -53,68 +53,68 @@
   enum class Change : std::uint8_t {
     None,
     Named,    ///< the replica had no limit before
-    Changed,  ///< another value
-    Ended,    ///< it has none any more
+    Changed,  ///< the limit has another value
+    Ended,    ///< the replica no longer has a limit
   };
 
-  /// The head of an answer names a limit. Of two answers whose order isn't known the lower limit holds.
-  /// sent: when the answered call left; nullopt: not known.
+  /// Records a limit stated in the headers of a response. If the order of two responses isn't known, the
+  /// lower limit applies. sent: time at which the call that was answered was sent; nullopt: unknown.
   Change name(const ReplicaId& replica, double per_second, std::optional<TimePoint> sent, TimePoint now);
-  /// An answer names none. It ends a limit only if the call left after that was last named: answers may
-  /// arrive in another order than they were written in.
+  /// Records a response that states no limit. It ends a limit only if the call was sent after the limit was
+  /// last stated, since responses may arrive out of order.
   Change end(const ReplicaId& replica, TimePoint sent);
-  /// The leader tells that other routers heard a limit.
+  /// Records a limit that the leader learned from other routers.
   Change onTold(const ReplicaId& replica, double per_second, TimePoint now);
-  /// The leader tells that another router was answered without one. If this router heard a limit named since,
-  /// the next answer names it again.
+  /// Removes a limit because another router got a response without one, as published by the leader. If this
+  /// router has since received the limit again, the next response will restore it.
   void onToldEnd(const ReplicaId& replica) { limits_.erase(replica); }
-  /// The life is over.
+  /// Removes the limit of an incarnation that has ended.
   void forget(const ReplicaId& replica) { limits_.erase(replica); }
 
   bool isLimited(const ReplicaId& replica) const { return limits_.contains(replica); }
-  /// nullopt: it named none.
+  /// nullopt: the replica has no limit.
   std::optional<double> limitOf(const ReplicaId& replica) const;
   std::size_t size() const { return limits_.size(); }
 
-  /// An update of a leader came. grants: its build decides on asks.
+  /// Records contact with a leader. grants: the leader's build decides on credit requests.
   void onLeader(bool grants, std::uint32_t routers, TimePoint now);
   /// True if a call without a credit of its own may be sent to the replica now.
   bool admits(const ReplicaId& replica, TimePoint now);
   bool hasSpareCredit(const ReplicaId& replica, TimePoint now) const;
-  /// A call without a credit of its own is sent there.
+  /// Records that a call without a credit of its own is sent to the replica.
   void onSent(const ReplicaId& replica, TimePoint now);
-  /// A call with a credit of its own is sent there.
+  /// Records that a call with a credit of its own is sent.
   void onSentWithCredit() { ++counts_.sent; }
-  /// Asks the leader for credit for a call that can wait so long; nullopt: no leader is heard.
+  /// Requests a credit for a call that can wait for the given time; nullopt: no contact with a leader.
   std::optional<std::uint64_t> ask(const ReplicaId& replica, Duration wait, TimePoint now);
-  /// Asks for a credit that any call may use, now and then, so that the replica is used at all while others
-  /// can take the calls, and is heard to end its limit.
+  /// Requests at intervals a credit that any call may use. This way the replica is used even while others can
+  /// take the calls, and the end of its limit is noticed.
   void askSpare(const ReplicaId& replica, TimePoint now);
-  /// The call of the ask has ended; what may still be granted to it is given back.
+  /// Abandons the request of a call that has ended. A credit that is still granted to it is returned.
   void abandon(std::uint64_t ask);
-  /// A credit that wasn't used, or whose sending certainly wasn't made.
+  /// Returns a credit that wasn't used, or whose call certainly wasn't sent.
   void giveBack(const ReplicaId& replica);
   std::vector<LimitResolved> accept(const wire::LimitReply& reply, TimePoint now);
-  /// Asks that no leader has answered in time.
+  /// Returns the outcomes of requests that no leader answered in time.
   std::vector<LimitResolved> tick(TimePoint now);
-  /// What the leader is to hear now.
+  /// Returns the message for the leader, if there is anything to send.
   std::optional<wire::LimitRequest> message(TimePoint now);
   TimePoint nextDeadline() const;
   const ReplicaLimitCounts& counts() const { return counts_; }
 
-  /// A granted credit that isn't used by then has lapsed.
+  /// A granted credit expires if it isn't used within this time.
   static constexpr Duration kCreditLasts = std::chrono::seconds(1);
 
  private:
   struct Limit {
     double per_second = 0;
-    TimePoint named{};                    ///< this value, last
-    TimePoint heard{};                    ///< any value, last
-    std::optional<TimePoint> spare_from;  ///< a credit that any call may use
+    TimePoint named{};                    ///< time of the last response that stated this value
+    TimePoint heard{};                    ///< time of the last response that stated any value
+    std::optional<TimePoint> spare_from;  ///< start of the validity of a credit that any call may use
     TimePoint next_spare_ask{};
-    double own_part = 0;  ///< calls that may be sent without a leader
+    double own_part = 0;  ///< number of calls that may be sent without a leader
     TimePoint own_part_at{};
-    std::optional<TimePoint> own_part_of;  ///< the silence that it was drawn for, see silenceBegan()
+    std::optional<TimePoint> own_part_of;  ///< leaderless period of the start value, see silenceBegan()
   };
   struct Ask {
     ReplicaId replica;
@@ -147,7 +147,7 @@
     std::optional<double> per_second;  ///< nullopt: the limit has ended
     TimePoint at{};
   };
-  std::map<ReplicaId, News> news_;  ///< for the leader
+  std::map<ReplicaId, News> news_;  ///< pending reports to the leader
   std::vector<ReplicaId> returned_;
   std::uint64_t next_ask_ = 1;
   std::uint64_t sequence_ = 0;
--- a/src/calls/replica_notices.cc
+++ b/src/calls/replica_notices.cc
@@ -6,18 +6,18 @@
 namespace ferryrock::calls {
 namespace {
 
-/// A longer backoff is taken as this long: one bad line may not shut a replica for good. Replicas ask for
-/// seconds; what asks for hours is out of service, and is asked again by one call an hour.
+/// Upper bound of a backoff, so that one wrong header can't exclude a replica forever. Replicas usually
+/// request seconds; one that requests hours is out of service and gets one call an hour.
 constexpr Duration kLongestBackoff = std::chrono::hours(1);
-/// Calls under way at once with which a replica counts as open again.
+/// A replica counts as fully open once more than this number of calls in flight would be permitted.
 constexpr std::uint32_t kOpenCalls = 8;
-/// A refusal comes within a round trip, 3 to 8 ms. A replica that has refused nothing for this long since its
-/// first call is open, also when it takes long to answer.
+/// A refusal arrives within a round trip, 3 to 8 ms. A replica that has refused nothing for this long since
+/// its first call is fully open, even if its responses take long.
 constexpr Duration kOpeningLimit = std::chrono::seconds(1);
-/// Replicas that leave are remembered, the latest of them: as many as a fleet of the planned size replaces in
-/// several days, at about 100 bytes each.
+/// Maximum number of draining replicas that are kept, the most recent ones. A fleet of the planned size
+/// replaces about as many in several days; each takes about 100 bytes.
 constexpr std::size_t kRememberedLeaving = 4'000;
-/// Backoffs that are over are dropped when there are more entries than this.
+/// Ended backoffs are dropped when there are more entries than this.
 constexpr std::size_t kRememberedBackoffs = 4'000;
 
 }  // namespace
--- a/src/calls/replica_notices.h
+++ b/src/calls/replica_notices.h
@@ -9,49 +9,49 @@
 
 namespace ferryrock::calls {
 
-/// What replicas said of themselves in answers to this router: that they leave, or that they want no calls
-/// from it for a time (backoff). It holds for one life of a replica, and is kept apart from the replica
-/// table: an update from a leader, who heard none of it, takes nothing of it back. Each router goes by what
-/// was said to it alone. Used by one thread.
+/// What replicas stated about themselves in responses to this router: that they are draining, or that they
+/// request a backoff. It holds for one incarnation of a replica. It is kept apart from the replica table, so
+/// that an update from a leader, which doesn't have this information, can't override it. Each router
+/// considers only the notices that it received itself. Not thread-safe; used by one thread.
 ///
-/// After a backoff the replica gets one call, then twice as many after each that it takes, up to eight at
-/// once. The calls that waited would otherwise all meet there at one instant, and be refused again. A replica
-/// whose zone was evacuated is opened in the same way: it may have lost what it had in its caches.
+/// After a backoff the replica gets one call, then twice as many after each call that it accepts, up to eight
+/// at once. Otherwise all waiting calls would reach it at the same time and be refused again. A replica whose
+/// zone was evacuated is reopened in the same way, since it may have lost the contents of its caches.
 class ReplicaNotices {
  public:
-  /// What a notice changed.
+  /// Effect of a notice on the recorded state.
   enum class Change : std::uint8_t {
     None,
-    Leaving,  ///< it hadn't said so before
-    Backoff,  ///< its backoff begins, or ends later than before
+    Leaving,  ///< the replica had not announced its draining before
+    Backoff,  ///< a backoff starts, or ends later than before
   };
 
-  /// The later end holds if a replica asks again: each answer binds on its own.
+  /// Applies a notice. If a replica requests a backoff again, the later end applies.
   Change accept(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now);
-  /// It may take calls again after others kept them from it: opened as after a backoff.
+  /// Reopens a replica step by step as after a backoff, because it had been closed for other reasons.
   void reopen(const ReplicaId& replica, TimePoint now);
-  /// The life is over.
+  /// Drops the state of an incarnation that has ended.
   void forget(const ReplicaId& replica);
 
   bool isLeaving(const ReplicaId& replica) const { return leaving_.contains(replica); }
-  /// End of its backoff; nullopt: it isn't in one.
+  /// End of the replica's backoff; nullopt: it isn't in a backoff.
   std::optional<TimePoint> closedUntil(const ReplicaId& replica, TimePoint now) const;
-  /// True if a call may be sent now; false in a backoff, and while it is being opened again and enough calls
-  /// are under way there.
+  /// True if a call may be sent now. False during a backoff, and while the replica is being reopened and the
+  /// permitted number of calls is in flight there.
   bool admits(const ReplicaId& replica, TimePoint now) const;
   std::size_t inBackoff(TimePoint now) const;
   std::size_t leaving() const { return leaving_.size(); }
 
-  /// A sending by which a replica is opened again.
+  /// An attempt that is sent while its replica is being reopened.
   struct Reopening {
-    std::uint64_t round = 0;  ///< of the backoff that ended; never 0
-    Duration closed_for{};    ///< since the replica asked for the backoff
-    bool first = false;       ///< since its backoff ended
+    std::uint64_t round = 0;  ///< round of the backoff that ended; never 0
+    Duration closed_for{};    ///< time since the start of the backoff
+    bool first = false;       ///< first attempt since the end of the backoff
   };
-  /// nullopt: the replica is open.
+  /// Records an attempt. Returns nullopt if the replica is fully open.
   std::optional<Reopening> onSent(const ReplicaId& replica, TimePoint now);
-  /// Each sending that reopens a replica ends by one of these. Taken: the replica runs the call. Nothing
-  /// follows if the replica has asked for time again since.
+  /// Each attempt that was sent while reopening ends with one of these calls. Accepted: the replica runs the
+  /// call. Neither has an effect if the replica has requested another backoff since.
   void onTaken(const ReplicaId& replica, std::uint64_t round);
   void onNotTaken(const ReplicaId& replica, std::uint64_t round);
 
@@ -60,9 +60,9 @@
     TimePoint began{};
     TimePoint until{};
     std::uint64_t round = 0;
-    std::uint32_t allowed = 1;          ///< calls under way while it is opened again
-    std::uint32_t undecided = 0;        ///< sendings of this round, neither taken nor refused yet
-    std::optional<TimePoint> reopened;  ///< first sending after the end
+    std::uint32_t allowed = 1;  ///< number of calls that may be in flight while the replica is being reopened
+    std::uint32_t undecided = 0;        ///< attempts of this round that are neither accepted nor refused yet
+    std::optional<TimePoint> reopened;  ///< time of the first attempt after the end of the backoff
     bool opening(TimePoint now) const;
   };
 
@@ -70,8 +70,9 @@
   Backoff* backoffOf(const ReplicaId& replica, std::uint64_t round);
 
   std::map<ReplicaId, Backoff> backoffs_;
-  std::map<ReplicaId, std::uint64_t> leaving_;              ///< with the number of their entry below
-  std::deque<std::pair<std::uint64_t, ReplicaId>> by_age_;  ///< leaving replicas, the first to say so first
+  std::map<ReplicaId, std::uint64_t> leaving_;  ///< value: number of the entry in by_age_
+  std::deque<std::pair<std::uint64_t, ReplicaId>>
+      by_age_;  ///< draining replicas in the order of their announcements
   std::uint64_t next_entry_ = 0;
   std::uint64_t next_round_ = 1;
 };
--- a/src/calls/replica_table.cc
+++ b/src/calls/replica_table.cc
@@ -14,32 +14,32 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Attempts of all routers that an affinity key's home may have beyond the least loaded replica, as a share
-/// of its batch: 6 for each of 6 routers at engines of 64 places, as on the deployments where that was
-/// chosen.
+/// Attempts of all routers that an affinity home may have in excess of the least loaded replica, as a share
+/// of its batch size: with 6 routers and a batch size of 64, 6 attempts for each router.
 constexpr double kHomeSurplusShare = 0.6;
-/// Prompt tokens that are read so soon that they don't matter.
+/// Prompt tokens that are prefilled so quickly that they are ignored when comparing backlogs.
 constexpr std::uint64_t kReadAtOnce = 200;
-/// Replicas of the own zone among which calls stay there.
+/// Calls stay in the local zone if it has at least this many candidates.
 constexpr std::ptrdiff_t kLocalChoices = 4;
-/// A replica that said that it lacks a model is asked for it again after these times.
+/// Backoff for a model that a replica reported as missing: initial value, maximum and growth factor.
 constexpr Duration kFirstMissingPause = std::chrono::milliseconds(40);
 constexpr Duration kLongestMissingPause = std::chrono::milliseconds(640);
 constexpr int kMissingPauseFactor = 4;
-/// A pace rises by this part of what a pause is longer.
+/// The gap estimate rises by this fraction (1/200) of the difference to a longer gap.
 constexpr int kPaceRise = 200;
-/// Replicas whose pace is so much above the best one's are slow. They make the pauses of all their streams
-/// longer while they read prompts, so that others are preferred.
+/// A replica whose event gap is above the lowest one by more than this factor is slow. Prefill on a slow
+/// replica lengthens the gaps of all its streams, so that faster replicas are preferred.
 constexpr double kSlowPace = 1.15;
-/// Costs within this share of each other are taken as equal: loads are some hundred ms old, and all routers
-/// would send to one and the same replica meanwhile.
+/// Random spread of costs. Loads are a few hundred milliseconds old; without the spread, all routers would
+/// send their calls to the same replica meanwhile.
 constexpr double kCostSpread = 0.25;
-/// While a replica is opened again after a backoff, calls look again this often, besides whenever it takes
-/// one.
+/// While a replica is being reopened after a backoff, waiting calls check it at this interval, and whenever
+/// it accepts a call.
 constexpr Duration kOpeningPause = std::chrono::milliseconds(50);
-/// Without a leader that grants credit, calls look again this often for room under a replica's limit.
+/// Without a leader that grants credit, waiting calls check the local allowance under a replica's rate limit
+/// at this interval.
 constexpr Duration kLimitedPause = std::chrono::milliseconds(100);
-/// Between two probes of a replica to which no connection comes up.
+/// Interval between two probes of an unreachable replica.
 constexpr Duration kProbePause = std::chrono::milliseconds(500);
 
 std::uint64_t homeWeight(const Replica& replica, std::uint64_t key) {
@@ -59,7 +59,7 @@
   });
 }
 
-/// A pace falls to the shortest pause at once and rises slowly, since what disturbs a stream only adds to it.
+/// The estimate drops to the shortest gap at once and rises slowly, since disturbances only lengthen a gap.
 void Replica::notePause(const ModelName& model, Duration pause) {
   Duration& pace = paces[model];
   pace = pace == Duration::zero() || pause < pace ? pause : pace + (pause - pace) / kPaceRise;
@@ -131,7 +131,7 @@
   }
 }
 
-/// A new leader may list the present life long before it knows that the former one is gone.
+/// A new leader may list the current incarnation long before it knows that the previous one has ended.
 bool ReplicaTable::followLife(const ReplicaId& id) {
   const std::uint64_t born = wire::replicaBorn(id);
   if (born == 0) {
@@ -173,7 +173,7 @@
   return found == replicas_.end() ? nullptr : &found->second;
 }
 
-/// Keeps the options that are wanted, or all if none is.
+/// Keeps the matching options, or all of them if none matches.
 void ReplicaTable::keepIf(Options& options, const std::function<bool(const Replica&)>& wanted) {
   Options kept;
   std::copy_if(options.begin(), options.end(), std::back_inserter(kept),
@@ -193,7 +193,7 @@
   };
   for (const ReplicaId& id : by_service_[need.service]) {
     Replica& replica = replicas_.at(id);
-    // What a replica said to this router goes before what a leader lists, which may be older.
+    // A notice to this router overrides the leader's list, which may be older.
     if (!replica.listed || !replica.routed.accepting || notices_.isLeaving(id)) {
       continue;
     }
@@ -222,9 +222,9 @@
     return none;
   }
   keepIf(options, [now](const Replica& replica) { return replica.health.admits(now); });
-  // All routers together would send a replica that has just started, and has no calls, more than it bears.
+  // A replica that has just started has no calls, so that all routers together would overload it.
   keepIf(options, [now](const Replica& replica) { return now >= replica.slow_until; });
-  // Credits for any call are few, and lapse if the next one doesn't use them.
+  // Spare credits are few and expire if the next call doesn't use them.
   keepIf(options, [&](const Replica& replica) { return limits_.hasSpareCredit(replica.routed.id, now); });
   if (need.trial) {
     keepIf(options, [&need](const Replica& replica) { return need.trial->owns(replica.routed.id); });
@@ -280,7 +280,7 @@
   return ids;
 }
 
-/// Those whose pace isn't known yet stay.
+/// Keeps replicas whose event gap isn't much above the lowest one. Replicas without an estimate are kept.
 void ReplicaTable::keepFast(Options& options, const ModelName& model) {
   Duration best = Duration::max();
   for (const Replica* option : options) {
@@ -294,15 +294,14 @@
   keepIf(options, [&](const Replica& option) { return option.paceOf(model).count() <= slow; });
 }
 
-/// First the replicas that read the least of other prompts just now, as each prompt holds up the streams
-/// beside it; then the fast ones; then the own zone where it has a choice; then the key's home; then the
-/// fewest calls.
-/// A router sees its own attempts alone. Its part of what a home may have beyond other replicas is less than
-/// one attempt where many routers share small engines; a home common to them all would get everything then.
+/// A router sees only its own attempts. With many routers and small engines, its share of the permitted
+/// surplus is less than one attempt; if the routers shared a home then, that replica would get all the calls.
 std::uint32_t ReplicaTable::homeSurplus(const Replica& replica) const {
   return static_cast<std::uint32_t>(kHomeSurplusShare * replica.routed.slots / std::max(1U, routers_));
 }
 
+/// Applies these criteria in order: lowest prefill backlog, since each prefill delays the streams beside it;
+/// low event gap; the local zone if it has enough candidates; the home of the affinity key; fewest calls.
 Replica* ReplicaTable::leastLoaded(Options options, const ReplicaNeed& need) const {
   std::uint64_t least_unread = std::numeric_limits<std::uint64_t>::max();
   for (const Replica* option : options) {
@@ -322,7 +321,8 @@
   const auto rank = [&](const Replica& replica) {
     const std::uint32_t surplus = homeSurplus(replica);
     const bool home_allowed = need.affinity_key != 0 && replica.outstanding <= least + surplus;
-    // Homes of this router's own spread the calls of all routers, and meet kept connections again.
+    // A home that is specific to this router spreads the calls of all routers and still reuses kept
+    // connections.
     const std::uint64_t key = surplus > 0 ? need.affinity_key : need.affinity_key ^ own_homes_;
     const std::uint64_t home = home_allowed ? homeWeight(replica, key) : 0;
     const bool other_zone = replica.routed.zone != zone_;
--- a/src/calls/retry_budget.cc
+++ b/src/calls/retry_budget.cc
@@ -3,7 +3,8 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Windows of the routers and of whoever counts don't begin at the same moment.
+/// Safety factor: the windows of different routers, and of observers that count retries, don't start at the
+/// same time.
 constexpr double kSafety = 0.7;
 
 }  // namespace
--- a/src/calls/retry_budget.h
+++ b/src/calls/retry_budget.h
@@ -9,24 +9,24 @@
 
 namespace ferryrock::calls {
 
-/// What all routers together may send beyond the first sending of each call, per service and window.
+/// Limit of the retries of all routers together, per service and window.
 struct RetryBudgetSettings {
-  double share = 0.2;  ///< of the calls in the window
-  double slack = 10;   ///< beside the share, over all routers
+  double share = 0.2;  ///< share of the calls in the window
+  double slack = 10;   ///< number of retries in addition to the share, over all routers
   Duration window = std::chrono::seconds(10);
 };
 
-/// One router's part of the budget: its own calls' share and an equal part of the slack. A sending counts
-/// whether or not the replica took it. Used by one thread.
+/// One router's part of the budget: the share of its own calls and an equal part of the slack. A retry counts
+/// whether or not the replica accepts it. Not thread-safe; used by one thread.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetSettings& settings) : settings_(settings) {}
 
   void setRouters(std::uint32_t routers) { routers_ = routers == 0 ? 1 : routers; }
   void onCall(const ServiceName& service, TimePoint now);
-  /// Takes one further sending; false: the budget is spent.
+  /// Charges one retry; returns false if the budget is used up.
   bool spend(const ServiceName& service, TimePoint now);
-  /// Until a further sending may be possible.
+  /// Estimated time until another retry may be possible.
   Duration pause() const { return settings_.window / 4; }
 
  private:
--- a/src/calls/route_table.cc
+++ b/src/calls/route_table.cc
@@ -24,7 +24,7 @@
   }
 }
 
-/// Looks up each prefix of the path that ends with a slash, the longest first.
+/// Looks up each prefix of the path that ends with a slash, starting with the longest.
 const wire::CallRoute* RouteTable::find(std::string_view host, std::string_view path) const {
   const auto of_host = routes_.find(normalizedHost(host));
   if (of_host == routes_.end()) {
--- a/src/calls/route_table.h
+++ b/src/calls/route_table.h
@@ -11,15 +11,15 @@
 
 namespace ferryrock::calls {
 
-/// One catalog, indexed for finding the route of a call. Immutable, so that calls keep the table that they
-/// were routed by.
+/// The routes and services of one catalog, indexed for lookup. Immutable, so that a call can keep the table
+/// that it was routed with.
 class RouteTable {
  public:
   explicit RouteTable(wire::ServiceCatalog catalog);
 
-  /// Of the host's routes the one with the longest prefix that begins the path; nullptr: none.
+  /// Returns the host's route with the longest prefix that matches the path; nullptr: none.
   const wire::CallRoute* find(std::string_view host, std::string_view path) const;
-  /// nullptr: unknown.
+  /// nullptr: unknown service.
   const wire::HostedService* findService(const ServiceName& name) const;
   const tenancy::KeyTable& keys() const { return keys_; }
   CatalogVersion version() const { return catalog_.version; }
@@ -28,12 +28,12 @@
  private:
   wire::ServiceCatalog catalog_;
   tenancy::KeyTable keys_;
-  /// By host, then by prefix.
+  /// By host, then by path prefix.
   std::map<std::string, std::map<std::string, const wire::CallRoute*, std::less<>>, std::less<>> routes_;
   std::map<ServiceName, const wire::HostedService*> services_;
 };
 
-/// Host without a port, in lower case.
+/// Returns the host in lower case and without a port.
 std::string normalizedHost(std::string_view host);
 
 }  // namespace ferryrock::calls
--- a/src/calls/traffic_split.h
+++ b/src/calls/traffic_split.h
@@ -7,16 +7,17 @@
 
 namespace ferryrock::calls {
 
-/// Shares the calls of each route out to its services by weight, evenly at every moment (smooth weighted
-/// round robin). Used by one thread.
+/// Distributes the calls of each route over its services by weight, with smooth weighted round robin, so that
+/// the weights also hold over short sequences. Not thread-safe; used by one thread.
 class TrafficSplit {
  public:
-  /// The service for the route's next call. The route has at least one target of positive weight.
+  /// Returns the service for the route's next call. The route must have at least one target with a positive
+  /// weight.
   const ServiceName& next(const wire::CallRoute& route);
 
  private:
   struct Turn {
-    std::vector<wire::RouteTarget> targets;  ///< that the credits belong to
+    std::vector<wire::RouteTarget> targets;  ///< targets that `credits` refers to
     std::vector<std::int64_t> credits;
   };
   std::map<RouteName, Turn> turns_;
--- a/src/calls/wait_policy.cc
+++ b/src/calls/wait_policy.cc
@@ -5,19 +5,20 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Share of a call's time that it may wait for a model to be loaded.
+/// Share of its total time that a call may wait for a model to be loaded.
 constexpr double kLoadWaitShare = 0.47;
-/// Share of its caller's patience, so that the first event still comes in time.
+/// Share of the caller's idle timeout that a call may wait, so that the first event is still in time.
 constexpr double kPatienceShare = 0.85;
-/// Share of the latency target that a call waits for a place; refused by then, it may be in time elsewhere.
+/// Share of the target latency that a call waits for a free slot. A call refused by then may still be in time
+/// elsewhere.
 constexpr double kPlaceWaitShare = 0.22;
-/// A refusal is prompt within this share of the latency target.
+/// A refusal within this share of the target latency is considered prompt.
 constexpr double kPromptShare = 0.22;
-/// A model that is ready within this share of the target still serves in time.
+/// A model that is ready within this share of the target latency can still serve the call in time.
 constexpr double kReadyInTimeShare = 0.85;
-/// Callers stay away for a third of the time that they have left at most.
+/// Maximum retry time as a share of the caller's remaining time, about a third.
 constexpr double kLongestAbsenceShare = 0.32;
-/// Loads end a little late, and routers hear of it a little later.
+/// Loads finish slightly later than expected, and routers learn of it with a further delay.
 constexpr double kLateLoadShare = 0.06;
 constexpr Duration kLateLoad = std::chrono::milliseconds(120);
 
@@ -25,7 +26,7 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * share));
 }
 
-/// Of an absence, over which the returns of callers are spread.
+/// Maximum random extension of a retry time, as a share of it.
 constexpr double kReturnSpreadShare = 0.25;
 
 Duration absenceUntil(TimePoint ready, TimePoint now) {
