--- a/tests/calls/call_fixture.h
+++ b/tests/calls/call_fixture.h
@@ -9,14 +9,14 @@
 
 namespace ferryrock::calls {
 
-/// A call router under a virtual clock, with the effects that it gave.
+/// A call router under a virtual clock that records the effects it returns.
 class CallFixture {
  public:
   explicit CallFixture(double retry_slack = 100) : router_(settings(retry_slack), log_, now) {}
 
-  /// Puts the catalog in force: /safe/ repeatable, /once/ at most once, /stream/ resumable, /single/ a stream
-  /// that isn't, /model/ on a service with models; each 1 s
-  /// (models 1.6 s), 3 attempts.
+  /// Applies the catalog: /safe/ is repeatable, /once/ at most once, /stream/ a resumable stream, /single/ a
+  /// stream that can't be resumed, and /model/ a stream on a service with models. Each route has a time limit
+  /// of 1 s (/model/ 1.6 s) and up to 3 attempts.
   void begin() {
     wire::ServiceUpdate update;
     update.catalog = catalog(1);
@@ -68,7 +68,7 @@
       all.push_back(std::move(effect));
     }
   }
-  /// The last effect of the kind; nullptr: none.
+  /// Returns the last effect of the kind; nullptr: none.
   template <class Kind>
   const Kind* last() const {
     for (auto effect = all.rbegin(); effect != all.rend(); ++effect) {
@@ -85,11 +85,11 @@
   }
   AttemptNumber attempt() const { return last<SendAttemptEffect>()->attempt; }
   void answer(int status, bool unrun = false) { take(router_.onAnswer(attempt(), {status, unrun}, now)); }
-  /// The replica of the last sending says this of itself.
+  /// Passes a notice from the replica of the last attempt.
   void notice(const ReplicaNotice& notice) {
     take(router_.onNotice(last<SendAttemptEffect>()->replica, notice, now));
   }
-  /// It refuses the call unrun and wants no further one for so long.
+  /// The replica refuses the call without running it and requests a backoff of this duration.
   void refuseFor(Duration duration) {
     notice({false, duration, ""});
     answer(503, true);
@@ -104,7 +104,7 @@
     take(router_.onFailure(attempt(), failure, "scripted", now));
     answerProbes();
   }
-  /// Answers the probes that haven't been answered yet.
+  /// Answers all pending probes.
   void answerProbes() {
     while (!probed_.empty()) {
       const ReplicaId replica = probed_.back();
@@ -127,8 +127,8 @@
 
   TimePoint now{std::chrono::seconds(1000)};
   std::vector<Effect> all;
-  wire::CallFingerprint fingerprint{1, 1};           ///< of the calls that come next
-  ProbeOutcome probe_outcome = ProbeOutcome::Lives;  ///< of each probe
+  wire::CallFingerprint fingerprint{1, 1};           ///< fingerprint of subsequent calls
+  ProbeOutcome probe_outcome = ProbeOutcome::Lives;  ///< result of each probe
   CallRouter& router() { return router_; }
 
  private:
@@ -136,7 +136,7 @@
   CallRouter router_;
   std::uint64_t calls_ = 0;
   std::uint64_t revision_ = 0;
-  std::vector<ReplicaId> probed_;  ///< without an answer yet
+  std::vector<ReplicaId> probed_;  ///< probes without an answer so far
 };
 
 inline wire::ServiceCatalog CallFixture::catalog(std::uint64_t version) {
--- a/tests/calls/call_router_test.cc
+++ b/tests/calls/call_router_test.cc
@@ -17,7 +17,7 @@
   }
 };
 
-TEST_CASE("Without a catalog a call is refused as not run, never as unknown") {
+TEST_CASE("A call without a catalog is refused as certainly not run") {
   CallFixture fixture;
   fixture.call("/safe/x");
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
@@ -30,7 +30,7 @@
   CHECK_FALSE(fixture.router().ready());
 }
 
-TEST_CASE("A call that comes before the first catalog is routed as soon as that is there") {
+TEST_CASE("A call that arrives before the first catalog is routed when the catalog arrives") {
   CallFixture fixture;
   fixture.call("/safe/x");
   fixture.call("/unknown/x");
@@ -43,7 +43,7 @@
   CHECK(fixture.last<SendAttemptEffect>()->time_left == 700ms);
 }
 
-TEST_CASE("The longest prefix of the host decides; no route is told at once") {
+TEST_CASE("The longest matching path prefix selects the route, and an unknown route is refused at once") {
   Begun fixture;
   CHECK(fixture.router().ready());
   fixture.call("/safe/a/b/c");
@@ -53,13 +53,13 @@
   CHECK(fixture.last<RefuseCallEffect>()->code == ResultCode::UnknownRoute);
 }
 
-TEST_CASE("A call gets the time that is left by the sooner of its caller's and its route's limit") {
+TEST_CASE("A call gets the shorter of its caller's and its route's time limit") {
   Begun fixture;
   fixture.call("/safe/x");
   CHECK(fixture.last<SendAttemptEffect>()->time_left == 1s);
 }
 
-TEST_CASE("A whole answer is delivered once") {
+TEST_CASE("A complete response is delivered exactly once") {
   Begun fixture;
   const CallNumber call = fixture.call("/once/x");
   const AttemptNumber attempt = fixture.attempt();
@@ -70,7 +70,7 @@
   CHECK(fixture.router().drained());
 }
 
-/// What may follow a failed attempt, by the kind of call. sent: sendings in all.
+/// Expected outcome of repeated failures, by kind of call. sent: total number of attempts.
 struct FailureCase {
   const char* path;
   AttemptFailure failure;
@@ -79,7 +79,7 @@
   bool not_run;
 };
 
-TEST_CASE("Only what certainly didn't run, or may run again, is sent again") {
+TEST_CASE("Only a call that certainly didn't run, or that is repeatable, is sent again") {
   const std::vector<FailureCase> cases = {
       {"/once/x", AttemptFailure::Unproved, 1, ResultCode::ReplicaFailed, false},
       {"/once/x", AttemptFailure::Foreign, 1, ResultCode::ReplicaFailed, false},
@@ -95,7 +95,7 @@
     fixture.call(given.path);
     while (fixture.last<RefuseCallEffect>() == nullptr) {
       fixture.fail(given.failure);
-      fixture.pass(20ms);  // without a replica that can be reached the call waits for a moment
+      fixture.pass(20ms);  // if no replica is reachable, the call waits for a short time
     }
     CHECK(fixture.count<SendAttemptEffect>() == given.sent);
     CHECK(fixture.last<RefuseCallEffect>()->code == given.code);
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("A refusal by a replica sends the call elsewhere, and in the end back with a time") {
+TEST_CASE("A call refused by replicas is sent to others and finally refused with a retry time") {
   Begun fixture;
   fixture.call("/once/x");
   std::set<ReplicaId> asked;
@@ -118,7 +118,7 @@
   CHECK(refusal->retry_after.has_value());
 }
 
-/// Calls of a model that one replica holds, or two.
+/// One replica holds the model of the calls; tests may add more.
 struct Modelled : CallFixture {
   explicit Modelled(double retry_slack = 100) : CallFixture(retry_slack) {
     begin();
@@ -134,7 +134,7 @@
   }
 };
 
-TEST_CASE("A sending that reached no replica costs nothing of the retry budget") {
+TEST_CASE("An attempt that reached no replica isn't charged to the retry budget") {
   constexpr double kNoSlack = 0;
   CallFixture fixture(kNoSlack);
   fixture.begin();
@@ -151,7 +151,8 @@
   CHECK(fixture.last<RefuseCallEffect>()->code == ResultCode::RetryBudgetSpent);
 }
 
-TEST_CASE("A call whose only holder can't be reached waits for another, and control hears of both") {
+TEST_CASE(
+    "A call whose only replica is unreachable waits for another one, and both are reported to control") {
   Modelled fixture;
   fixture.call("/model/x", "m1");
   fixture.fail(AttemptFailure::NotSent);
@@ -166,7 +167,7 @@
   CHECK(fixture.last<SendAttemptEffect>()->replica == ReplicaId("e2"));
 }
 
-TEST_CASE("A replica that can't be reached is probed by one waiting call once its ejection is over") {
+TEST_CASE("An unreachable replica is probed by one waiting call after its ejection") {
   Modelled fixture;
   fixture.call("/model/x", "m1");
   fixture.fail(AttemptFailure::NotSent);
@@ -180,7 +181,7 @@
   CHECK(fixture.told().unreachable.empty());
 }
 
-TEST_CASE("A replica that lacks a model which the table lists is asked again less and less often") {
+TEST_CASE("A replica that lacks a listed model is retried at increasing intervals") {
   Modelled fixture;
   fixture.call("/model/x", "m1");
   fixture.answer(421, true);
@@ -196,7 +197,7 @@
   CHECK(fixture.count<StartStreamEffect>() == 1);
 }
 
-TEST_CASE("A call that may have run is never refused as not run, also when later replicas refuse it") {
+TEST_CASE("A call that may have run isn't refused as not run, even if later replicas refuse it") {
   Begun fixture;
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
@@ -206,8 +207,7 @@
   CHECK_FALSE(fixture.last<RefuseCallEffect>()->not_run);
 }
 
-TEST_CASE(
-    "A replica's own failure is passed on where the call may not run again, tried elsewhere where it may") {
+TEST_CASE("An error response is delivered if the call isn't repeatable, and retried elsewhere if it is") {
   Begun fixture;
   fixture.call("/once/x");
   fixture.answer(500);
@@ -220,7 +220,7 @@
   CHECK(fixture.count<DeliverAnswerEffect>() == 2);
 }
 
-TEST_CASE("At the deadline the replica is stopped and the caller told, at once") {
+TEST_CASE("At the deadline the attempt is cancelled and the call is refused at once") {
   Begun fixture;
   fixture.call("/once/x");
   fixture.pass(999ms);
@@ -232,7 +232,7 @@
   CHECK(fixture.last<CancelAttemptEffect>()->attempt == fixture.attempt());
 }
 
-TEST_CASE("A caller that leaves stops its replica") {
+TEST_CASE("The attempt is cancelled if the caller disconnects") {
   Begun fixture;
   const CallNumber call = fixture.call("/once/x");
   fixture.take(fixture.router().onCallerGone(call, fixture.now));
@@ -240,7 +240,7 @@
   CHECK(fixture.router().drained());
 }
 
-TEST_CASE("A stream that breaks goes on elsewhere after its last event, where its route allows") {
+TEST_CASE("A broken stream of a resumable route continues on another replica after its last event") {
   Begun fixture;
   fixture.call("/stream/x");
   fixture.event(1);
@@ -256,7 +256,7 @@
   CHECK(fixture.count<FinishStreamEffect>() == 1);
 }
 
-TEST_CASE("A stream that may not be resumed is broken off so that its caller sees it") {
+TEST_CASE("A broken stream that can't be resumed is aborted visibly") {
   Begun fixture;
   fixture.call("/single/x");
   fixture.event(1);
@@ -265,7 +265,7 @@
   CHECK(fixture.count<FinishStreamEffect>() == 0);
 }
 
-TEST_CASE("A started stream whose rest nobody takes is broken off, not refused") {
+TEST_CASE("A started stream that no replica continues is aborted instead of refused") {
   Begun fixture;
   fixture.call("/stream/x");
   fixture.event(1);
@@ -276,7 +276,7 @@
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
 }
 
-TEST_CASE("A leaving replica gets nothing new") {
+TEST_CASE("A draining replica gets no new calls") {
   Begun fixture;
   wire::RoutedReplica leaving = CallFixture::replica("r1");
   leaving.accepting = false;
@@ -287,7 +287,8 @@
   }
 }
 
-TEST_CASE("A call for a model that no replica holds waits, is told to control, and runs once it is there") {
+TEST_CASE(
+    "A call for a model that no replica holds is reported as demand and runs once the model is loaded") {
   Begun fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.pass(20ms);
@@ -307,7 +308,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("A call whose model doesn't come is refused as not run before its deadline") {
+TEST_CASE("A call whose model isn't loaded in time is refused as not run before its deadline") {
   Begun fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.call("/model/x", "m1");
@@ -318,7 +319,7 @@
   CHECK(fixture.last<RefuseCallEffect>()->retry_after.has_value());
 }
 
-TEST_CASE("A stopping router tells all members, and lets in late only what ends in time") {
+TEST_CASE("A draining router notifies all members and finally accepts only calls that end in time") {
   Begun fixture;
   fixture.all.clear();
   fixture.take(fixture.router().beginDrain(fixture.now + 2s, fixture.now + 2500ms, fixture.now));
@@ -335,7 +336,7 @@
   CHECK(fixture.last<RefuseCallEffect>()->not_run);
 }
 
-TEST_CASE("A stop answers calls that wait for a model, and whatever is left at its end") {
+TEST_CASE("Waiting calls and calls left at the end of a drain get a final response") {
   Begun fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.call("/model/x", "m1");
@@ -351,7 +352,7 @@
   CHECK(fixture.router().drained());
 }
 
-TEST_CASE("Updates of a replaced leader change nothing, and a catalog never goes back") {
+TEST_CASE("Updates of a replaced leader are ignored, and the catalog version never decreases") {
   Begun fixture;
   wire::ServiceUpdate newer;
   newer.revision = LogIndex{std::uint64_t{9} << 40};
@@ -367,7 +368,7 @@
   CHECK(fixture.router().knownReplicas() == 3);
 }
 
-TEST_CASE("A router tells at once that it holds a revision when it is asked to, else with its next status") {
+TEST_CASE("A revision is acknowledged at once if confirmation is requested, else with the next status") {
   Begun fixture;
   fixture.pass(300ms);
   fixture.all.clear();
@@ -383,7 +384,7 @@
   REQUIRE(fixture.count<wire::SendEffect>() == 1);
 }
 
-/// Names of the members whose connections were to be renewed, in order.
+/// Names of the members whose connections were replaced, in order.
 std::vector<std::string> renewals(const CallFixture& fixture) {
   std::vector<std::string> members;
   for (const Effect& effect : fixture.all) {
@@ -394,12 +395,12 @@
   return members;
 }
 
-TEST_CASE("A member that answers no status is connected to anew, one that answers isn't") {
+TEST_CASE("Only the connection to a member that answers no status is replaced") {
   Begun fixture;
   fixture.all.clear();
   for (int i = 0; i < 16; ++i) {
     fixture.pass(250ms);
-    fixture.addReplicas({});  // control-1 leads and answers; control-2 doesn't
+    fixture.addReplicas({});  // control-1 leads and answers; control-2 doesn't answer
   }
   const std::vector<std::string> members = renewals(fixture);
   CHECK(members.size() >= 2);
@@ -413,7 +414,7 @@
   CHECK(renewals(fixture).empty());
 }
 
-TEST_CASE("A catalog comes from any member, and none takes a newer one back") {
+TEST_CASE("A catalog is accepted from any member, unless its version is lower") {
   Begun fixture;
   const auto tell = [&fixture](std::uint64_t version) {
     fixture.take(fixture.router().receive(
@@ -433,7 +434,7 @@
   std::map<std::string, int> lines;
 };
 
-TEST_CASE("Changes of the table are counted in the log, replicas that leave or are gone have a line each") {
+TEST_CASE("Table changes are logged as counts, draining and removed replicas individually") {
   constexpr int kUpdates = 200;
   CountingLog log;
   TimePoint now{1000s};
@@ -455,7 +456,7 @@
   CHECK(log.lines["replica.gone"] == 1);
 }
 
-TEST_CASE("Only a whole table that is complete takes replicas away that it doesn't list") {
+TEST_CASE("Unlisted replicas are removed only by a complete full table") {
   Begun fixture;
   wire::ServiceUpdate partial;
   partial.replicas = {CallFixture::replica("r1")};
--- a/tests/calls/control_feed_test.cc
+++ b/tests/calls/control_feed_test.cc
@@ -4,7 +4,8 @@
 #include <map>
 #include <string>
 
-/// How much a router tells the members of its cell: counted, since of a large fleet all of it adds up there.
+/// Rate of statuses that a router sends to the members of its cell. In a large fleet the statuses of all
+/// routers add up there.
 namespace ferryrock::calls {
 namespace {
 
@@ -17,7 +18,7 @@
   return NodeName("10.0.0." + std::to_string(number) + ":7000");
 }
 
-/// A feed whose members answer as those of a fleet do that want to hear this often.
+/// A feed whose members answer like those of a large fleet and request these status intervals.
 struct FeedOfLargeFleet {
   FeedOfLargeFleet(Duration at_leader, Duration at_member)
       : leader_interval(at_leader), member_interval(at_member), feed(settings()) {}
@@ -64,11 +65,11 @@
   std::map<NodeName, std::size_t> statuses;
 };
 
-TEST_CASE("A router tells its status as often as the leader and the members ask") {
+TEST_CASE("Statuses are sent at the intervals that the leader and the members request") {
   for (const std::size_t size : {1U, 2U}) {
     INFO("size " << size);
     FeedOfLargeFleet fleet(std::chrono::seconds(size), std::chrono::seconds(4 * size));
-    fleet.run(10s);  // until it knows what they want
+    fleet.run(10s);  // until the requested intervals are known
     fleet.statuses.clear();
     constexpr std::size_t kSeconds = 80;
     fleet.run(std::chrono::seconds(kSeconds));
@@ -81,7 +82,7 @@
   }
 }
 
-TEST_CASE("A router that hears no leader asks few members at a time, however many there are") {
+TEST_CASE("Without a leader, only a few members are queried at a time, however many there are") {
   FeedOfLargeFleet fleet(1s, 4s);
   fleet.run(10s);
   fleet.leader_answers = false;
@@ -97,10 +98,10 @@
   INFO(all << " statuses in " << kSeconds << " s");
   constexpr std::size_t kAskedASecond = 4;  // two members, twice a second
   CHECK(all <= kAskedASecond * kSeconds + 2);
-  CHECK(fleet.statuses.size() == kMembers);  // each had its turn
+  CHECK(fleet.statuses.size() == kMembers);  // each member was queried
 }
 
-TEST_CASE("A leader that others name is asked at once") {
+TEST_CASE("A leader named by other members is queried at once") {
   FeedOfLargeFleet fleet(1s, 4s);
   fleet.run(10s);
   fleet.leader_answers = false;
--- a/tests/calls/crash_test.cc
+++ b/tests/calls/crash_test.cc
@@ -3,7 +3,7 @@
 #include "calls/call_fixture.h"
 #include "quarantine/crash_ledger.h"
 
-/// What a router takes for proof that a call ended a replica, and what it does with such a call.
+/// Which events count as evidence that a call crashed a replica, and how such a call is handled.
 namespace ferryrock::calls {
 namespace {
 
@@ -17,7 +17,7 @@
     probe_outcome = ProbeOutcome::Ended;
   }
   Standing standing() { return router().crashLedger().standing(fingerprint); }
-  /// A record of another router, as a member tells it.
+  /// Passes the crash record of another router, as forwarded by a member.
   void tell(const std::vector<std::string>& ended, bool shares_all = false) {
     wire::CrashRecord record;
     record.call = fingerprint;
@@ -26,7 +26,7 @@
     }
     take(router().receive({NodeName("control-1"), wire::CrashRecords{{record}, shares_all}}, now));
   }
-  /// Crash records that the router told members since the last look.
+  /// Number of messages with crash records that the router has sent to members.
   std::size_t told() {
     std::size_t count = 0;
     for (const Effect& effect : all) {
@@ -37,7 +37,7 @@
   }
 };
 
-/// How one sending ended, and whether it counts against the call.
+/// How an attempt ended, and whether that counts against the call.
 struct EvidenceCase {
   const char* name;
   AttemptFailure failure;
@@ -46,7 +46,7 @@
   std::size_t probes;
 };
 
-TEST_CASE("Only a replica that is found ended after it broke the call off counts against the call") {
+TEST_CASE("Only a replica found terminated after it broke off the call counts against the call") {
   const std::vector<EvidenceCase> cases = {
       {"the process ended", AttemptFailure::Unproved, ProbeOutcome::Ended, true, 1},
       {"the connection was reset, or the answer lost or cut short", AttemptFailure::Unproved,
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("A call under which a third replica ends is refused, as one that has run, and sent no more") {
+TEST_CASE("A call is refused as possibly run and not retried after a third replica crashed under it") {
   Crashing fixture;
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
@@ -79,8 +79,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 3);
 }
 
-TEST_CASE(
-    "A quarantined call that comes again is refused at once: not run, with the time until it may come") {
+TEST_CASE("A repeated quarantined call is refused at once as not run, with the end of its quarantine") {
   Crashing fixture;
   fixture.tell({"a", "b", "c"});
   fixture.call("/model/x", "m0");
@@ -101,8 +100,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE(
-    "Calls that wait or run unanswered when the third end is told are ended; a stream that runs isn't") {
+TEST_CASE("A reported third crash ends waiting and unanswered calls but no stream in progress") {
   Crashing fixture;
   fixture.call("/stream/x");
   const AttemptNumber streaming = fixture.attempt();
@@ -119,7 +117,7 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("Replicas that ended don't use up a call's attempts, so that calls beside a crashing one go on") {
+TEST_CASE("Crashed replicas don't use up the attempts of calls that ran beside the crashing one") {
   Crashing fixture;
   fixture.tell({});
   fixture.call("/safe/x");
@@ -133,7 +131,7 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("A call that was broken off waits for the probe of its replica, not beyond its own time") {
+TEST_CASE("A call that was broken off waits for the probe of its replica, but not beyond its deadline") {
   Crashing fixture;
   fixture.call("/safe/x");
   fixture.take(
@@ -151,7 +149,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 2);
 }
 
-TEST_CASE("One probe answers for all calls that a replica broke off, also for one whose caller has left") {
+TEST_CASE("One probe decides for all calls that a replica broke off, even if a caller has disconnected") {
   Crashing fixture;
   fixture.addReplicas({});
   std::vector<AttemptNumber> attempts;
@@ -177,7 +175,7 @@
   }
 }
 
-TEST_CASE("Members hear of an end and of an answer that refutes it, and of no other call") {
+TEST_CASE("Crashes and the responses that refute them are reported to members, other calls aren't") {
   Crashing fixture;
   fixture.call("/safe/x");
   fixture.answer(200);
@@ -190,7 +188,7 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("A member that shares less than the router is told what it lacks, one that shares the same isn't") {
+TEST_CASE("A member that lacks shared crash records gets them; a member with the same records doesn't") {
   Crashing fixture;
   fixture.tell({"a", "b"}, true);
   CHECK(fixture.told() == 0);
--- a/tests/calls/parts_test.cc
+++ b/tests/calls/parts_test.cc
@@ -13,7 +13,7 @@
 
 constexpr TimePoint kStart{1000s};
 
-TEST_CASE("A route's weights are kept over any stretch of its calls") {
+TEST_CASE("Route weights hold over short sequences of calls") {
   wire::CallRoute route;
   route.name = RouteName("r");
   route.targets = {{ServiceName("a"), 90}, {ServiceName("b"), 10}, {ServiceName("c"), 0}};
@@ -27,7 +27,7 @@
   CHECK(counts[ServiceName("c")] == 0);
 }
 
-TEST_CASE("Each router spends its part of the slack and its calls' share, in any window") {
+TEST_CASE("A router stays within its share of the retry budget in every window") {
   RetryBudgetSettings settings;
   settings.share = 0.2;
   settings.slack = 50;
@@ -54,7 +54,7 @@
   return wanted;
 }
 
-TEST_CASE("Calls spread over equal replicas, calls of one key share a home until it is much busier") {
+TEST_CASE("Calls spread over equal replicas, and calls of one key share a home until it is much busier") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   update.replicas = {CallFixture::replica("r1"), CallFixture::replica("r2"), CallFixture::replica("r3")};
@@ -73,7 +73,7 @@
   CHECK(table.choose(need("desk", 77), kStart).replica != home);
 }
 
-TEST_CASE("Many routers that share small engines don't send all calls of one key to the same replica") {
+TEST_CASE("Calls of one key from many routers with small engines don't all go to the same replica") {
   constexpr std::uint32_t kRouters = 64;
   constexpr std::uint32_t kSlots = 12;
   std::map<ReplicaId, int> calls;
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("An ejected replica is passed over unless it is the last one") {
+TEST_CASE("An ejected replica is avoided unless no other is left") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   update.replicas = {CallFixture::replica("r1"), CallFixture::replica("r2")};
@@ -109,7 +109,7 @@
   CHECK(table.choose(need("desk"), kStart).replica != nullptr);
 }
 
-TEST_CASE("A replica that may take calls again is opened step by step, and keeps those under way meanwhile") {
+TEST_CASE("A replica that accepts calls again is reopened step by step and keeps its calls in flight") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   update.replicas = {CallFixture::replica("r1")};
@@ -135,7 +135,7 @@
   CHECK(table.choose(need("desk"), back).replica == nullptr);
 }
 
-TEST_CASE("A replica that is no longer listed is forgotten once its last attempt has ended") {
+TEST_CASE("An unlisted replica is removed after its last attempt has ended") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   update.replicas = {CallFixture::replica("r1")};
@@ -152,7 +152,7 @@
   CHECK(table.find(ReplicaId("r1")) == nullptr);
 }
 
-TEST_CASE("A replica that starts again under its name is known as new, and no earlier life takes its place") {
+TEST_CASE("A restarted replica starts without state, and an earlier incarnation doesn't replace it") {
   ReplicaTable table(ZoneName(""), 3);
   const auto list = [&table](std::uint64_t born) {
     wire::ServiceUpdate update;
@@ -181,7 +181,7 @@
   CHECK(table.size() == 1);
 }
 
-TEST_CASE("Hosts are compared without port and case, prefixes by whole segments, the longest first") {
+TEST_CASE("Hosts match without port and case, and paths by the longest prefix of whole segments") {
   wire::ServiceCatalog catalog = CallFixture::catalog(1);
   wire::CallRoute nested = catalog.routes.front();
   nested.name = RouteName("nested");
--- a/tests/calls/replica_credit_test.cc
+++ b/tests/calls/replica_credit_test.cc
@@ -3,7 +3,7 @@
 
 #include "calls/call_fixture.h"
 
-/// Calls that need a credit under a replica's limit, at one router with a scripted leader.
+/// Calls that need a credit under a replica's rate limit, at one router with a scripted leader.
 namespace ferryrock::calls {
 namespace {
 
@@ -31,7 +31,7 @@
     update.grants_limits = true;
     send(update);
   }
-  /// The leader answers the last ask.
+  /// Passes the leader's decision on the last credit request.
   void decide(bool granted, std::int64_t wait_ms) {
     const wire::LimitRequest* request = lastRequest();
     REQUIRE(request != nullptr);
@@ -50,7 +50,7 @@
   }
 };
 
-TEST_CASE("A call with a credit for a replica that leaves before it may be used ends in time") {
+TEST_CASE("A call with a credit for a replica that starts draining ends in time and returns the credit") {
   LimitedCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
@@ -64,7 +64,7 @@
   CHECK(fixture.sentTo("e1") == 1);
 }
 
-TEST_CASE("A call waits for its credit and is sent when that may be used") {
+TEST_CASE("A call waits until its credit may be used") {
   LimitedCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
@@ -74,7 +74,7 @@
   CHECK(fixture.sentTo("e1") == 2);
 }
 
-TEST_CASE("A call without room is refused at once with a time at which there is some") {
+TEST_CASE("A call without available credit is refused at once with the time of the next credit") {
   LimitedCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(false, 1500);
@@ -86,7 +86,7 @@
   CHECK(*refusal->retry_after >= 1500ms);
 }
 
-TEST_CASE("A call that leaves before it uses its credit gives it back, also when its sending wasn't made") {
+TEST_CASE("An unused credit is returned if the caller disconnects or the call wasn't sent") {
   LimitedCopy fixture;
   const CallNumber gone = fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
@@ -100,7 +100,7 @@
   CHECK(fixture.lastRequest()->returned.size() == 1);
 }
 
-TEST_CASE("Without a leader calls that need a credit wait for one no longer than for a replica") {
+TEST_CASE("Without a leader, calls that need a credit don't wait longer than for a replica") {
   LimitedCopy fixture;
   fixture.pass(3s);
   fixture.call("/model/x", "m1");
@@ -108,7 +108,7 @@
   CHECK(fixture.router().openCalls() == 0);
 }
 
-TEST_CASE("A limit that the leader tells of is kept until it tells of the end, by whichever leader") {
+TEST_CASE("A limit published by the leader is kept until a leader publishes its end") {
   LimitedCopy fixture;
   wire::RoutedReplica told = LimitedCopy::holder("e2");
   told.calls_per_second = 2;
@@ -122,7 +122,7 @@
   CHECK_FALSE(fixture.router().replicaLimits().isLimited(ReplicaId("e2")));
 }
 
-TEST_CASE("A new life of a replica is bound by no limit of the former one") {
+TEST_CASE("A new incarnation of a replica doesn't inherit the rate limit") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({LimitedCopy::holder("e1@1000")});
--- a/tests/calls/replica_limits_test.cc
+++ b/tests/calls/replica_limits_test.cc
@@ -14,7 +14,7 @@
 constexpr TimePoint kNow{1000s};
 const ReplicaId kReplica("r1");
 
-TEST_CASE("A limit holds until a call that left after it was named is answered without one") {
+TEST_CASE("A limit ends only if a call that was sent after it was stated gets a response without one") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   CHECK(limits.name(kReplica, 1.2, kNow - 1s, kNow) == Change::Named);
   CHECK(limits.end(kReplica, kNow - 10ms) == Change::None);
@@ -24,7 +24,7 @@
   CHECK(limits.end(kReplica, kNow + 20ms) == Change::None);
 }
 
-TEST_CASE("Of two limits whose order isn't known the lower holds, else the later") {
+TEST_CASE("Of two limits in unknown order the lower applies, otherwise the later") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   limits.name(kReplica, 2, kNow - 1s, kNow);
   CHECK(limits.name(kReplica, 5, kNow - 1s, kNow + 1ms) == Change::None);
@@ -35,7 +35,7 @@
   CHECK(limits.limitOf(kReplica) == 5.0);
 }
 
-TEST_CASE("A limit that rises is taken while answers to earlier calls come all the time") {
+TEST_CASE("A raised limit is accepted while responses to earlier calls keep arriving") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   limits.name(kReplica, 1, kNow - 100ms, kNow);
   for (Duration passed = 10ms; passed <= 300ms; passed += 10ms) {
@@ -44,13 +44,13 @@
   CHECK(limits.limitOf(kReplica) == 5.0);
 }
 
-TEST_CASE("A limit of 0 is one") {
+TEST_CASE("A limit of 0 is a valid limit") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   CHECK(limits.name(kReplica, 0, std::nullopt, kNow) == Change::Named);
   CHECK(limits.limitOf(kReplica) == 0.0);
 }
 
-TEST_CASE("Remembered limits are bounded, and the latest stay") {
+TEST_CASE("The number of stored limits is bounded, and the latest are kept") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   constexpr int kNamed = 5000;
   for (int i = 0; i < kNamed; ++i) {
@@ -60,7 +60,7 @@
   CHECK(limits.isLimited(ReplicaId("r" + std::to_string(kNamed - 1))));
 }
 
-/// A router's part under limits, with a scripted leader.
+/// One router's part in rate limits, with a scripted leader.
 struct LimitsFixture {
   LimitsFixture() : limits({NodeName("edge-1"), 7, 3}) { limits.onLeader(true, 9, now); }
   wire::LimitDecision decision(std::uint64_t number, bool granted, std::int64_t wait_ms,
@@ -71,7 +71,7 @@
   TimePoint now = kNow;
 };
 
-TEST_CASE("A call for a replica with a limit needs a credit, and the leader is asked for it at once") {
+TEST_CASE("A call to a replica with a limit needs a credit, which is requested from the leader at once") {
   LimitsFixture fixture;
   CHECK(fixture.limits.admits(kReplica, fixture.now));
   fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
@@ -91,7 +91,7 @@
   CHECK(fixture.limits.accept({7, {fixture.decision(*ask, true, 0)}}, fixture.now).empty());
 }
 
-TEST_CASE("A credit that comes for a call that has ended is given back, another incarnation's isn't taken") {
+TEST_CASE("A credit for a call that has ended is returned, and replies to another incarnation are ignored") {
   LimitsFixture fixture;
   fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
   const auto ask = fixture.limits.ask(kReplica, 0s, fixture.now);
@@ -103,7 +103,7 @@
   CHECK(fixture.limits.message(fixture.now)->returned == std::vector<ReplicaId>{kReplica});
 }
 
-TEST_CASE("An ask that no leader answers ends within a quarter of a second") {
+TEST_CASE("A credit request without a reply ends within a quarter of a second") {
   LimitsFixture fixture;
   fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
   const auto ask = fixture.limits.ask(kReplica, 1s, fixture.now);
@@ -116,7 +116,7 @@
   CHECK(resolved.front().verdict == LimitResolved::Verdict::Unanswered);
 }
 
-TEST_CASE("A leader that knows of no limit any more ends it, unless it was heard named since the ask") {
+TEST_CASE("A leader that knows no limit ends it, unless it was stated again after the request") {
   LimitsFixture fixture;
   fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
   const auto first = fixture.limits.ask(kReplica, 0s, fixture.now);
@@ -128,7 +128,7 @@
   CHECK_FALSE(fixture.limits.isLimited(kReplica));
 }
 
-TEST_CASE("A leader of a build that grants no limits is sent nothing of them") {
+TEST_CASE("A leader whose build doesn't grant credit gets no limit messages") {
   LimitsFixture fixture;
   fixture.limits.onLeader(false, 9, fixture.now);
   fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
@@ -137,8 +137,8 @@
   CHECK_FALSE(fixture.limits.message(fixture.now));
 }
 
-/// All routers of a fleet with calls for one replica all the time, and no leader from the beginning.
-TEST_CASE("Without a leader all routers together send no more than half of the limit, and no burst") {
+/// All routers of a fleet have calls for one replica at all times, and there is no leader from the start.
+TEST_CASE("Without a leader, all routers together send at most half of the limit and no initial burst") {
   const auto routers = GENERATE(9, 88, 985);
   const double per_second = GENERATE(0.5, 1.2, 10.0, 100.0);
   const bool grants = GENERATE(true, false);
--- a/tests/calls/replica_notice_test.cc
+++ b/tests/calls/replica_notice_test.cc
@@ -3,26 +3,19 @@
 
 #include "calls/call_fixture.h"
 
-// Callers of rarely used models got 503 for seconds, and replicas that had asked for time got three and four
-// further calls within it.
+// Guards against ignoring the backoff that an overloaded replica requests. A replica, the only one with the
+// call's model, refused a call with 503 and requested a backoff of 3 s. The router excluded it for only 100
+// ms, sent the call there two more times, 104 ms apart including the round trip, and refused the caller after
+// 211 ms with a retry time of 200 ms; the next call for the model went the same way.
 //
-// A replica with more work than it could bear refused a call with 503 and asked its router for 3 s without
-// calls. It alone held the call's model. The router left it out for 100 ms, sent the call there again, twice,
-// and told the caller after 211 ms to come back in 200 ms, though the place stayed shut for seconds. The next
-// call for the model did the same.
-//
-// Cause: nobody read what the replica asked for. What a replica says in an answer was heard by the attempt
-// that got the answer, as "refused", and by nothing that chooses replicas.
-//
-// Evidence: the router's log has the three sendings of one call 104 ms apart, which is the fixed pause plus
-// the way there and back; three replicas, of which two are known to have asked for time, turned away all 88
-// calls that reached them while it lasted.
+// The reason was that only the attempt handled the response, as a refusal, and replica selection ignored the
+// notice. All 88 calls that were sent to such replicas during their backoff were refused.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// One replica holds the model of the calls.
+/// A single replica holds the model of the calls.
 struct OnlyCopy : CallFixture {
   OnlyCopy() {
     begin();
@@ -33,7 +26,7 @@
     replica.held = {{ModelName("m1"), {}}};
     return replica;
   }
-  /// A new leader lists all replicas anew, knowing nothing of what they said to routers.
+  /// Lists all replicas afresh, as a new leader does that doesn't know their notices to routers.
   void listAnew(const std::vector<wire::RoutedReplica>& replicas) {
     wire::ServiceUpdate update;
     update.complete = true;
@@ -42,7 +35,7 @@
   }
 };
 
-TEST_CASE("A replica that asked for time gets no call until it is over") {
+TEST_CASE("A replica gets no call until the backoff that it requested has ended") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.refuseFor(3s);
@@ -60,7 +53,7 @@
   CHECK(fixture.sentTo("e1") > 1);
 }
 
-TEST_CASE("A replica that said in an answer that it leaves gets no further call") {
+TEST_CASE("A replica that announced its draining in a response gets no further call") {
   OnlyCopy fixture;
   fixture.addReplicas({OnlyCopy::holder("e1"), OnlyCopy::holder("e2")});
   fixture.call("/model/x", "m1");
@@ -78,12 +71,12 @@
   CHECK(fixture.count<SendAttemptEffect>() == 21);
 }
 
-/// e2 holds the model as well.
+/// e2 also holds the model.
 struct TwoCopies : OnlyCopy {
   TwoCopies() { addReplicas({holder("e2")}); }
 };
 
-TEST_CASE("While one copy wants no calls the other one gets them") {
+TEST_CASE("While one replica is in a backoff, the other one gets the calls") {
   TwoCopies fixture;
   fixture.call("/model/x", "m1");
   const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
@@ -97,7 +90,7 @@
   CHECK(fixture.count<RefuseCallEffect>() == 0);
 }
 
-TEST_CASE("A call that can still be in time waits for the end, a late one is refused at once until then") {
+TEST_CASE("A call waits for the end of a backoff if it can be in time, else it is refused at once") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.refuseFor(100ms);
@@ -115,7 +108,7 @@
   CHECK(*refusal->retry_after <= 4500ms);
 }
 
-TEST_CASE("Callers that come within a backoff are told to come back over a time, not at one instant") {
+TEST_CASE("Retry times of callers that arrive during a backoff are spread over a period") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.refuseFor(4s);
@@ -132,7 +125,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("Of the calls that waited for the end of a backoff one goes first, and the rest once it is taken") {
+TEST_CASE("After a backoff one waiting call is sent first, and more when it is accepted") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.refuseFor(100ms);
@@ -145,8 +138,8 @@
   CHECK(fixture.sentTo("e1") == 4);
 }
 
-/// Two calls are under way when the second one's answer asks for time.
-TEST_CASE("Answers to calls that were sent before are delivered, and end no backoff") {
+/// Two calls are in flight when the response to the second one requests a backoff.
+TEST_CASE("Responses to earlier calls are delivered and don't end a backoff") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   const AttemptNumber earlier = fixture.attempt();
@@ -158,8 +151,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 2);
 }
 
-TEST_CASE(
-    "A replica that asked for time isn't taken for unsound, with or without the mark that it ran nothing") {
+TEST_CASE("A requested backoff doesn't count as a failure, whether or not the call is marked as not run") {
   for (const bool unrun : {true, false}) {
     INFO(unrun);
     OnlyCopy fixture;
@@ -180,7 +172,7 @@
   }
 }
 
-TEST_CASE("A new life of a replica is bound by nothing that the former one said") {
+TEST_CASE("A new incarnation of a replica isn't bound by the notices of the previous one") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({OnlyCopy::holder("e1@1000")});
@@ -194,7 +186,7 @@
   CHECK(fixture.sentTo("e1@2000") > 0);
 }
 
-TEST_CASE("A stream that breaks off goes on at another replica than one that wants no calls") {
+TEST_CASE("A broken stream isn't resumed on a replica in a backoff") {
   TwoCopies fixture;
   fixture.call("/model/x", "m1");
   const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
@@ -204,7 +196,7 @@
   CHECK(fixture.sentTo(asking) == 1);
 }
 
-TEST_CASE("A call whose only copy wants no calls counts as waiting demand for the model") {
+TEST_CASE("A call whose only replica is in a backoff is reported as waiting demand") {
   OnlyCopy fixture;
   fixture.call("/model/x", "m1");
   fixture.refuseFor(3s);
@@ -221,7 +213,7 @@
   CHECK(waiting == 1);
 }
 
-TEST_CASE("Where each that was asked has refused, the caller hears when the first takes calls again") {
+TEST_CASE("A caller refused by all replicas gets the earliest end of their backoffs") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("r1"), CallFixture::replica("r2"), CallFixture::replica("r3")});
--- a/tests/calls/replica_notices_test.cc
+++ b/tests/calls/replica_notices_test.cc
@@ -17,13 +17,13 @@
   return {false, duration, ""};
 }
 
-/// Times asked for one after the other, and for how long the replica is closed then.
+/// Backoffs requested one after the other, and the resulting backoff.
 struct BackoffCase {
   std::vector<Duration> asked;
   Duration closed;
 };
 
-TEST_CASE("The longest of the times that a replica asked for holds, an hour at most") {
+TEST_CASE("The longest requested backoff applies, up to an hour") {
   const std::vector<BackoffCase> cases = {
       {{3s}, 3s}, {{3s, 3s}, 3s}, {{3s, 1s}, 3s}, {{1s, 3s}, 3s}, {{1ms}, 1ms}, {{24h}, 1h}, {{24h, 48h}, 1h},
   };
@@ -39,7 +39,7 @@
   }
 }
 
-TEST_CASE("A notice tells what it changed") {
+TEST_CASE("The effect of a notice is returned") {
   ReplicaNotices notices;
   using Change = ReplicaNotices::Change;
   CHECK(notices.accept(kReplica, wanting(3s), kStart) == Change::Backoff);
@@ -51,7 +51,7 @@
   CHECK_FALSE(notices.isLeaving(ReplicaId("e2")));
 }
 
-TEST_CASE("With its life end a replica's wishes") {
+TEST_CASE("The notices of an incarnation end with it") {
   ReplicaNotices notices;
   notices.accept(kReplica, {true, 3s, ""}, kStart);
   notices.forget(kReplica);
@@ -59,7 +59,7 @@
   CHECK_FALSE(notices.isLeaving(kReplica));
 }
 
-TEST_CASE("After a backoff one call goes, then twice as many after each that is taken") {
+TEST_CASE("After a backoff one call is admitted, then twice as many after each accepted call") {
   ReplicaNotices notices;
   notices.accept(kReplica, wanting(3s), kStart);
   const TimePoint open = kStart + 3s;
@@ -85,7 +85,7 @@
   CHECK(sendable() == 100);
 }
 
-TEST_CASE("The first sending after a backoff says how long the replica was closed") {
+TEST_CASE("The first attempt after a backoff yields the duration of the backoff") {
   ReplicaNotices notices;
   notices.accept(kReplica, wanting(2s), kStart);
   notices.accept(kReplica, wanting(2s), kStart + 1s);
@@ -97,7 +97,7 @@
   CHECK_FALSE(notices.onSent(ReplicaId("e2"), kStart).has_value());
 }
 
-TEST_CASE("A replica that refuses nothing for a second after its first call is open, however long it takes") {
+TEST_CASE("A replica that refuses nothing for a second after its first call is fully open") {
   ReplicaNotices notices;
   notices.accept(kReplica, wanting(3s), kStart);
   notices.onSent(kReplica, kStart + 3s);
@@ -106,7 +106,7 @@
   CHECK_FALSE(notices.onSent(kReplica, kStart + 4s).has_value());
 }
 
-TEST_CASE("Asked for time while it is opened again, a replica is closed and opened anew") {
+TEST_CASE("A backoff requested while reopening closes the replica and starts a new round") {
   ReplicaNotices notices;
   notices.accept(kReplica, wanting(1s), kStart);
   const std::uint64_t round = notices.onSent(kReplica, kStart + 1s)->round;
@@ -120,7 +120,7 @@
   CHECK_FALSE(notices.admits(kReplica, kStart + 2100ms));
 }
 
-TEST_CASE("What is remembered of replicas that leave is bounded, the latest are kept") {
+TEST_CASE("The number of stored draining replicas is bounded, and the latest are kept") {
   ReplicaNotices notices;
   for (int i = 0; i < 10'000; ++i) {
     notices.accept(ReplicaId("e" + std::to_string(i)), {true, std::nullopt, ""}, kStart);
@@ -129,8 +129,8 @@
   CHECK(notices.isLeaving(ReplicaId("e9999")));
 }
 
-TEST_CASE("No sequence of wishes and calls lets a call go within a time that was asked for") {
-  CHECK(rc::check("closed while any wish holds", [] {
+TEST_CASE("No sequence of backoffs and calls admits a call within a requested backoff") {
+  CHECK(rc::check("closed while any backoff lasts", [] {
     ReplicaNotices notices;
     TimePoint now = kStart;
     TimePoint closed_until = kStart;
--- a/tests/calls/tenant_test.cc
+++ b/tests/calls/tenant_test.cc
@@ -3,7 +3,7 @@
 
 #include "calls/call_fixture.h"
 
-/// Keys and quotas as a router's calls meet them.
+/// Keys and quotas, as checked for the calls of a router.
 namespace ferryrock::calls {
 namespace {
 
@@ -14,7 +14,8 @@
 constexpr std::uint64_t kIncarnation = 77;
 const NodeName kLeader("control-1");
 
-/// A router with the key "secret" of tenant "a", quota 1,000 tokens a second, and the open route /open/.
+/// A router with tenant "a", which has the key "secret" and a quota of 1,000 tokens a second. /safe/ is open
+/// to callers without a key.
 class TenantFixture : public CallFixture {
  public:
   TenantFixture() : router_(keyedSettings(), log_, now) {}
@@ -44,7 +45,7 @@
     take(router_.receive({kLeader, update}, now));
   }
   void begin(bool limited = false) {
-    take(router_.tick(now));  // status 1
+    take(router_.tick(now));  // sends status 1
     wire::ServiceUpdate first;
     version_ = 1;
     first.catalog = keyedCatalog(1, "secret");
@@ -79,7 +80,7 @@
     const auto* refused = last<RefuseCallEffect>();
     return refused == nullptr ? ResultCode::Ok : refused->code;
   }
-  /// What the leader was told last; nullptr: nothing.
+  /// Returns the last quota message to the leader; nullptr: none.
   const wire::QuotaUse* told() const {
     for (auto effect = all.rbegin(); effect != all.rend(); ++effect) {
       const auto* send = std::get_if<wire::SendEffect>(&*effect);
@@ -109,7 +110,7 @@
 
 const Credential kSecret{Credential::Form::Key, "secret"};
 
-TEST_CASE("Only a tenant's key opens a route, and the replica gets the tenant's name and priority") {
+TEST_CASE("Only a tenant's key permits a call, and the replica gets the tenant's name and priority") {
   TenantFixture fixture;
   fixture.begin();
   fixture.keyed(kSecret);
@@ -127,7 +128,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("A route that is open to all needs no key, and runs no call with a wrong one") {
+TEST_CASE("An open route needs no key but rejects a wrong one") {
   TenantFixture fixture;
   fixture.begin();
   fixture.keyed({}, "/safe/x");
@@ -137,7 +138,7 @@
   CHECK(fixture.refusal() == ResultCode::UnknownKey);
 }
 
-TEST_CASE("Once the catalog isn't proved any more, calls with a key are refused at once and open ones run") {
+TEST_CASE("Without a current catalog proof, calls with a key are refused at once and open ones run") {
   TenantFixture fixture;
   fixture.begin();
   fixture.passTime(kKeyLifetime);
@@ -151,7 +152,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("The proof and the key are looked at again when a call that waited is sent") {
+TEST_CASE("The proof and the key are checked again when a waiting call is sent") {
   TenantFixture fixture;
   fixture.begin();
   wire::ServiceUpdate none;
@@ -164,7 +165,7 @@
   wire::ServiceUpdate back;
   back.base = none.base;
   back.replicas = {CallFixture::replica("r4")};
-  SECTION("the key was taken away meanwhile") {
+  SECTION("the key was removed meanwhile") {
     fixture.version_ = 2;
     back.catalog = TenantFixture::keyedCatalog(2, "other");
     fixture.update(back, 1);
@@ -179,7 +180,7 @@
   }
 }
 
-TEST_CASE("A router that has a catalog and no proof yet holds calls until the proof comes") {
+TEST_CASE("Calls wait for the first catalog proof after the first catalog") {
   TenantFixture fixture;
   fixture.take(fixture.keyedRouter().tick(fixture.now));
   wire::ServiceUpdate first;
@@ -194,7 +195,7 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("A tenant that isn't limited runs at once, and its use is told together a moment later") {
+TEST_CASE("A tenant that isn't limited runs calls at once, and their quota use is reported together") {
   TenantFixture fixture;
   fixture.begin();
   fixture.keyed(kSecret);
@@ -236,7 +237,7 @@
   }
 }
 
-TEST_CASE("A call that was charged and certainly didn't run gives its credit back, once") {
+TEST_CASE("The charge for a call that certainly didn't run is refunded once") {
   TenantFixture fixture;
   fixture.begin();
   fixture.keyed(kSecret);
@@ -259,9 +260,9 @@
   }
 }
 
-/// What replicas run counts against the quota, so that a call which a replica broke off and another runs
-/// again counts twice.
-TEST_CASE("A call that is sent again is charged again if it may have run before, and only then") {
+/// The quota counts what replicas run: a call that one replica broke off and another one runs again counts
+/// twice.
+TEST_CASE("A retry is charged again only if the previous attempt may have run") {
   TenantFixture fixture;
   fixture.begin();
   fixture.keyed(kSecret, "/safe/x");
@@ -276,7 +277,7 @@
     CHECK(fixture.told()->spent[0].total == 800);
     fixture.take(fixture.keyedRouter().onAnswer(fixture.attempt(), {503, true}, fixture.now));
     fixture.passTime(60ms);
-    // The second sending didn't run, so that the third is the one that was charged.
+    // The second attempt didn't run, so the third one is covered by its charge.
     CHECK(fixture.count<SendAttemptEffect>() == 3);
     CHECK(fixture.told()->spent[0].total == 800);
   }
--- a/tests/calls/wait_policy_test.cc
+++ b/tests/calls/wait_policy_test.cc
@@ -13,12 +13,12 @@
 
 constexpr TimePoint kArrived{1000s};
 
-/// A call with a target of 1 s and 20 s in all, that nobody has had.
+/// A call with a target latency of 1 s and a time limit of 20 s that no replica has received.
 WaitingCall untouched() {
   return {kArrived, kArrived + 20s, 1s, std::nullopt, true};
 }
 
-TEST_CASE("A call waits for a model within a share of its time and of its caller's patience") {
+TEST_CASE("A call waits for a model within a share of its time limit and of its caller's idle timeout") {
   WaitingCall call = untouched();
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived) == kArrived + 9400ms);
   call.patience = 4s;
@@ -26,7 +26,7 @@
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived + 5s) == kArrived + 5s);
 }
 
-TEST_CASE("A call waits for a place only as long as it may be in time elsewhere") {
+TEST_CASE("A call waits for a free slot only as long as it may be in time elsewhere") {
   CHECK(waitLimit(untouched(), ChoiceFailure::Refusing, kArrived) == kArrived + 220ms);
   CHECK(waitLimit(untouched(), ChoiceFailure::NoReplica, kArrived) == kArrived + 220ms);
   WaitingCall call = untouched();
@@ -42,7 +42,8 @@
   bool away;
 };
 
-TEST_CASE("A caller is sent away when its model is late, the refusal is prompt and it has the time") {
+TEST_CASE(
+    "A caller is refused with a retry time if the load is late, the refusal prompt and a retry possible") {
   const std::vector<AbsenceCase> cases = {
       {"late load", 3s, 20ms, true, true},
       {"in time", 800ms, 20ms, true, false},
@@ -63,8 +64,8 @@
   }
 }
 
-TEST_CASE("A call whose model comes later than it may wait is refused whenever that is known") {
-  const WaitingCall call = untouched();  // it may wait for 9.4 s
+TEST_CASE("A call whose model is ready after the permitted wait is refused as soon as that is known") {
+  const WaitingCall call = untouched();  // the permitted wait is 9.4 s
   CHECK_FALSE(refusedUntil(call, kArrived + 9s, kArrived).has_value());
   const auto early = refusedUntil(call, kArrived + 30s, kArrived);
   REQUIRE(early.has_value());
@@ -75,7 +76,7 @@
   CHECK_FALSE(refusedUntil(started, kArrived + 30s, kArrived).has_value());
 }
 
-TEST_CASE("A call that can't be served isn't held, and its model stays wanted until the caller may be back") {
+TEST_CASE("A call that can't be served isn't held, and its model stays in demand until the retry") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
@@ -96,7 +97,7 @@
   CHECK(status.wants[0].waiting == 1);
 }
 
-TEST_CASE("A model's coming is known until it is past, and its callers are expected for a while longer") {
+TEST_CASE("The expected load time is kept until it is past, and callers are expected a little longer") {
   ExpectedLoads loads;
   const ServiceName service("llm");
   const ModelName model("m1");
@@ -111,7 +112,7 @@
   CHECK(loads.expectedBack(kArrived + 4s).empty());
 }
 
-TEST_CASE("A call whose model is being loaded is refused at once with the time, and stays wanted") {
+TEST_CASE("A call whose model is being loaded is refused at once with a retry time and stays in demand") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
@@ -133,7 +134,7 @@
   CHECK(status.wants[0].waiting == 1);
 }
 
-TEST_CASE("A slow replica is used only while the fast ones read prompts") {
+TEST_CASE("A replica with long event gaps is used only while the fast ones prefill") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   for (const char* id : {"fast", "slow"}) {
