--- a/tests/calls/replica_notice_test.cc
+++ b/tests/calls/replica_notice_test.cc
@@ -3,13 +3,14 @@
 
 #include "calls/call_fixture.h"
 
-// Guards against ignoring the backoff that an overloaded replica requests. A replica, the only one with the
-// call's model, refused a call with 503 and requested a backoff of 3 s. The router excluded it for only 100
-// ms, sent the call there two more times, 104 ms apart including the round trip, and refused the caller after
-// 211 ms with a retry time of 200 ms; the next call for the model went the same way.
+// Guards against ignoring the backoff that an overloaded replica requests. Callers of rarely used models got
+// 503 for seconds, and replicas in a backoff got three to four further calls.
 //
-// The reason was that only the attempt handled the response, as a refusal, and replica selection ignored the
-// notice. All 88 calls that were sent to such replicas during their backoff were refused.
+// A replica, the only one with the call's model, refused a call with 503 and requested a backoff of 3 s. The
+// router excluded it for only 100 ms, sent the call there two more times, 104 ms apart including the round
+// trip, and refused the caller after 211 ms with a retry time of 200 ms. The reason was that only the attempt
+// handled the response, as a refusal, and replica selection ignored the notice. The replicas refused all 88
+// calls that reached them during their backoff.
 namespace ferryrock::calls {
 namespace {
 
