--- a/src/balance/call_cost.h
+++ b/src/balance/call_cost.h
@@ -15,7 +15,7 @@
 };
 
 /// A candidate replica for a call.
-struct CallPlace {
+struct CallCandidate {
   FleetUse use;
   bool is_home = false;  ///< the replica to which calls with the same prompt prefix are routed
   bool other_zone = false;
@@ -30,6 +30,6 @@
 /// Choosing the replica with the lowest cost separates long streams from long prompts: streams go to replicas
 /// that prefill little, above all the fast ones, and prompts go to replicas with few streams. This serves
 /// mixed loads of long streams and long prompts on replicas of different speed.
-double callCost(const CallShape& call, const CallPlace& place);
+double callCost(const CallShape& call, const CallCandidate& candidate);
 
 }  // namespace ferryrock::balance
--- a/src/balance/load_board.cc
+++ b/src/balance/load_board.cc
@@ -7,18 +7,18 @@
 
 /// Maximum age of the aggregates. They are published about every 0.4 s. A stream lasts about 2 s on average,
 /// so older aggregates describe streams that have ended.
-constexpr Duration kFresh = std::chrono::milliseconds(2500);
+constexpr Duration kMaxLoadsAge = std::chrono::milliseconds(2500);
 /// Retention of a replica's slowness after its last update. Replicas stay slow for long, and a new
 /// incarnation has another key.
-constexpr Duration kSpeedKnown = std::chrono::seconds(60);
+constexpr Duration kSlownessTtl = std::chrono::seconds(60);
 constexpr double kPercent = 100;
 
 }  // namespace
 
-void LoadBoard::onTold(const std::vector<wire::ReplicaUse>& uses) {
-  told_.clear();
+void LoadBoard::onReported(const std::vector<wire::ReplicaUse>& uses) {
+  reported_.clear();
   for (const wire::ReplicaUse& use : uses) {
-    told_[use.replica] = use;
+    reported_[use.replica] = use;
   }
 }
 
@@ -30,12 +30,12 @@
       speeds_[load.replica] = {load.slowness_percent / kPercent, now};
     }
   }
-  std::erase_if(speeds_, [now](const auto& item) { return now - item.second.told > kSpeedKnown; });
+  std::erase_if(speeds_, [now](const auto& item) { return now - item.second.updated_at > kSlownessTtl; });
   accepted_ = now;
 }
 
 bool LoadBoard::isFresh(TimePoint now) const {
-  return accepted_ && now - *accepted_ <= kFresh;
+  return accepted_ && now - *accepted_ <= kMaxLoadsAge;
 }
 
 std::optional<Duration> LoadBoard::age(TimePoint now) const {
@@ -47,19 +47,19 @@
   return speed == speeds_.end() ? 1 : std::max(1.0, speed->second.slowness);
 }
 
-FleetUse LoadBoard::use(std::uint32_t replica, const OwnUse& own) const {
+FleetUse LoadBoard::estimateLoad(std::uint32_t replica, const OwnUse& own) const {
   FleetUse use;
   use.slowness = slowness(replica);
   const auto load = loads_.find(replica);
-  const auto told = told_.find(replica);
+  const auto reported = reported_.find(replica);
   if (load != loads_.end()) {
     use.streams = load->second.streams;
     use.unread_tokens = load->second.unread_tokens;
     use.tokens_per_s = load->second.tokens_per_s;
   }
-  if (told != told_.end()) {
-    use.streams -= told->second.streams;
-    use.unread_tokens -= told->second.unread_tokens;
+  if (reported != reported_.end()) {
+    use.streams -= reported->second.streams;
+    use.unread_tokens -= reported->second.unread_tokens;
   }
   use.streams = std::max(0.0, use.streams) + own.streams;
   use.unread_tokens = std::max(0.0, use.unread_tokens) + static_cast<double>(own.unread_tokens);
--- a/src/balance/load_board.h
+++ b/src/balance/load_board.h
@@ -32,14 +32,14 @@
  public:
   /// Records the loads that this router last reported to the leader. They are its share in the aggregates
   /// that the leader publishes.
-  void onTold(const std::vector<wire::ReplicaUse>& uses);
+  void onReported(const std::vector<wire::ReplicaUse>& uses);
   void accept(const std::vector<wire::ReplicaLoad>& loads, TimePoint now);
 
   /// Returns false if the aggregates are too old to be used, or if none was received.
   bool isFresh(TimePoint now) const;
   /// Returns the time since the aggregates were received; nullopt if none was.
   std::optional<Duration> age(TimePoint now) const;
-  FleetUse use(std::uint32_t replica, const OwnUse& own) const;
+  FleetUse estimateLoad(std::uint32_t replica, const OwnUse& own) const;
   /// Returns the replica's slowness, above 1 if it is known to be slower than another replica, else 1.
   double slowness(std::uint32_t replica) const;
 
@@ -48,12 +48,12 @@
   /// streams.
   struct Speed {
     double slowness = 1;
-    TimePoint told{};
+    TimePoint updated_at{};
   };
 
   std::map<std::uint32_t, wire::ReplicaLoad> loads_;
   std::map<std::uint32_t, Speed> speeds_;
-  std::map<std::uint32_t, wire::ReplicaUse> told_;
+  std::map<std::uint32_t, wire::ReplicaUse> reported_;
   std::optional<TimePoint> accepted_;
 };
 
--- a/src/balance/load_tally.h
+++ b/src/balance/load_tally.h
@@ -24,27 +24,27 @@
   const std::map<std::uint32_t, double>& slowness(TimePoint now);
 
  private:
-  struct RouterUse {
+  struct RouterReport {
     std::vector<wire::ReplicaUse> uses;
-    TimePoint heard{};
+    TimePoint received_at{};
   };
   struct Sum {
     std::int64_t streams = 0;
     std::int64_t unread_tokens = 0;
-    double fading_tokens = 0;  ///< prompt tokens sent there, decaying over kRateSeconds
+    double decaying_tokens = 0;  ///< prompt tokens sent there, decaying over kRateDecaySeconds
   };
 
   void add(const std::vector<wire::ReplicaUse>& uses, std::int64_t sign);
-  void fade(TimePoint now);
+  void decay(TimePoint now);
 
-  std::map<NodeName, RouterUse> routers_;
+  std::map<NodeName, RouterReport> routers_;
   std::map<std::uint32_t, Sum> sums_;
-  PaceTable paces_;
-  TimePoint faded_{};
+  PaceTable gap_table_;
+  TimePoint decayed_at_{};
   std::map<std::uint32_t, double> slowness_;
-  TimePoint slowness_made_{};
+  TimePoint slowness_computed_at_{};
   std::vector<wire::ReplicaLoad> loads_;
-  TimePoint loads_made_{};
+  TimePoint loads_computed_at_{};
 };
 
 }  // namespace ferryrock::balance
--- a/src/balance/pace_table.cc
+++ b/src/balance/pace_table.cc
@@ -9,14 +9,14 @@
 
 /// Minimum number of reports on a model at a replica before its shortest gap is used. The shortest gap of a
 /// few streams is usually undisturbed.
-constexpr std::uint32_t kFewestSeen = 3;
+constexpr std::uint32_t kMinReports = 3;
 /// A slow replica may get no streams at all. Its slowness is kept for this many windows without a report (1
 /// min).
-constexpr int kIdleWindows = 10;
+constexpr int kMaxIdleWindows = 10;
 /// Iterations after which slowness values converge that are linked only through several models.
-constexpr int kRounds = 10;
+constexpr int kIterations = 10;
 
-Duration shorter(Duration left, Duration right) {
+Duration shorterNonZero(Duration left, Duration right) {
   if (left == Duration::zero() || right == Duration::zero()) {
     return std::max(left, right);
   }
@@ -27,18 +27,18 @@
 struct Sample {
   std::uint32_t model = 0;
   std::uint32_t replica = 0;
-  double pace = 0;
+  double gap = 0;
 };
 
 /// Estimates the event gap of each model on a replica of full speed: the lowest gap over its replicas,
 /// corrected by their slowness.
-std::map<std::uint32_t, double> modelPaces(const std::vector<Sample>& samples,
-                                           std::map<std::uint32_t, double>& slowness) {
+std::map<std::uint32_t, double> modelGaps(const std::vector<Sample>& samples,
+                                          std::map<std::uint32_t, double>& slowness) {
   std::map<std::uint32_t, double> paces;
   for (const Sample& sample : samples) {
-    const double pace = sample.pace - slowness[sample.replica];
-    const auto [place, fresh] = paces.try_emplace(sample.model, pace);
-    place->second = fresh ? pace : std::min(place->second, pace);
+    const double gap = sample.gap - slowness[sample.replica];
+    const auto [entry, inserted] = paces.try_emplace(sample.model, gap);
+    entry->second = inserted ? gap : std::min(entry->second, gap);
   }
   return paces;
 }
@@ -49,7 +49,7 @@
   std::map<std::uint32_t, std::pair<double, int>> sums;
   for (const Sample& sample : samples) {
     auto& [sum, count] = sums[sample.replica];
-    sum += sample.pace - paces.at(sample.model);
+    sum += sample.gap - paces.at(sample.model);
     ++count;
   }
   std::map<std::uint32_t, double> slowness;
@@ -61,16 +61,16 @@
 
 }  // namespace
 
-Duration PaceTable::Pace::shortest() const {
-  return shorter(present, before);
+Duration PaceTable::GapRecord::shortest() const {
+  return shorterNonZero(current, previous);
 }
 
 void PaceTable::accept(const std::vector<wire::ObservedPace>& paces, TimePoint now) {
   expire(now);
   for (const wire::ObservedPace& observed : paces) {
-    Pace& pace = paces_[{observed.model, observed.replica}];
-    pace.present = shorter(pace.present, std::chrono::microseconds(observed.pause_us));
-    ++pace.seen_present;
+    GapRecord& gap = gap_records_[{observed.model, observed.replica}];
+    gap.current = shorterNonZero(gap.current, std::chrono::microseconds(observed.pause_us));
+    ++gap.current_reports;
   }
 }
 
@@ -79,31 +79,31 @@
     return;
   }
   window_end_ = now + kWindow;
-  for (auto& [key, pace] : paces_) {
-    if (pace.present == Duration::zero()) {
-      ++pace.idle_windows;
+  for (auto& [key, gap] : gap_records_) {
+    if (gap.current == Duration::zero()) {
+      ++gap.idle_windows;
       continue;
     }
-    pace.before = std::exchange(pace.present, Duration::zero());
-    pace.seen_before = std::exchange(pace.seen_present, 0);
-    pace.idle_windows = 0;
+    gap.previous = std::exchange(gap.current, Duration::zero());
+    gap.previous_reports = std::exchange(gap.current_reports, 0);
+    gap.idle_windows = 0;
   }
-  std::erase_if(paces_, [](const auto& item) { return item.second.idle_windows > kIdleWindows; });
+  std::erase_if(gap_records_, [](const auto& item) { return item.second.idle_windows > kMaxIdleWindows; });
 }
 
 /// A model allows a comparison only if several replicas hold it. If all of them are slow, this shows only in
 /// the other models that they hold, so replica slowness and model gaps are estimated alternately.
 std::map<std::uint32_t, double> PaceTable::slowness() const {
   std::vector<Sample> samples;
-  for (auto first = paces_.begin(); first != paces_.end();) {
+  for (auto first = gap_records_.begin(); first != gap_records_.end();) {
     const std::uint32_t model = first->first.first;
     const std::size_t begin = samples.size();
-    for (; first != paces_.end() && first->first.first == model; ++first) {
-      const Pace& pace = first->second;
+    for (; first != gap_records_.end() && first->first.first == model; ++first) {
+      const GapRecord& gap = first->second;
       const bool known =
-          pace.shortest() > Duration::zero() && pace.seen_present + pace.seen_before >= kFewestSeen;
+          gap.shortest() > Duration::zero() && gap.current_reports + gap.previous_reports >= kMinReports;
       if (known) {
-        samples.push_back({model, first->first.second, std::log(toSeconds(pace.shortest()))});
+        samples.push_back({model, first->first.second, std::log(toSeconds(gap.shortest()))});
       }
     }
     if (samples.size() == begin + 1) {
@@ -111,8 +111,8 @@
     }
   }
   std::map<std::uint32_t, double> slowness;
-  for (int round = 0; round < kRounds; ++round) {
-    const auto paces = modelPaces(samples, slowness);
+  for (int iteration = 0; iteration < kIterations; ++iteration) {
+    const auto paces = modelGaps(samples, slowness);
     slowness = replicaSlowness(samples, paces);
   }
   double least = slowness.empty() ? 0 : slowness.begin()->second;
--- a/src/balance/pace_table.h
+++ b/src/balance/pace_table.h
@@ -33,17 +33,17 @@
  private:
   /// Shortest gaps in the current window and in the latest earlier window in which streams were observed.
   /// Zero means that there was none.
-  struct Pace {
-    Duration present{};
-    Duration before{};
-    std::uint32_t seen_present = 0;  ///< number of reports
-    std::uint32_t seen_before = 0;
+  struct GapRecord {
+    Duration current{};
+    Duration previous{};
+    std::uint32_t current_reports = 0;  ///< number of reports
+    std::uint32_t previous_reports = 0;
     int idle_windows = 0;  ///< windows since streams of the model were last observed there
     Duration shortest() const;
   };
   using Key = std::pair<std::uint32_t, std::uint32_t>;  ///< model key, replica key
 
-  std::map<Key, Pace> paces_;
+  std::map<Key, GapRecord> gap_records_;
   TimePoint window_end_{};
 };
 
--- a/src/calls/replica_table.cc
+++ b/src/calls/replica_table.cc
@@ -340,7 +340,7 @@
 }
 
 balance::FleetUse ReplicaTable::fleetUse(const Replica& replica) const {
-  return board_.use(replica.load_key, {replica.outstanding, replica.unread_tokens});
+  return board_.estimateLoad(replica.load_key, {replica.outstanding, replica.unread_tokens});
 }
 
 Replica* ReplicaTable::cheapest(const Options& options, const ReplicaNeed& need) const {
@@ -356,10 +356,10 @@
   Replica* best = nullptr;
   double least = 0;
   for (Replica* option : options) {
-    const balance::CallPlace place{fleetUse(*option), option == home, option->routed.zone != zone_};
+    const balance::CallCandidate candidate{fleetUse(*option), option == home, option->routed.zone != zone_};
     const double drawn = static_cast<double>(homeWeight(*option, turn_)) /
                          static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    const double cost = balance::callCost(call, place) * (1 + kCostSpread * drawn);
+    const double cost = balance::callCost(call, candidate) * (1 + kCostSpread * drawn);
     if (best == nullptr || cost < least) {
       best = option;
       least = cost;
@@ -377,7 +377,7 @@
                       static_cast<std::uint32_t>(replica.unread_tokens), static_cast<std::uint32_t>(sent)});
     }
   }
-  board_.onTold(uses);
+  board_.onReported(uses);
   return uses;
 }
 
--- a/tests/balance/call_cost_test.cc
+++ b/tests/balance/call_cost_test.cc
@@ -11,29 +11,29 @@
 namespace ferryrock::balance {
 namespace {
 
-CallPlace place(double streams, double unread, double rate, double slowness) {
-  CallPlace place;
-  place.use = {streams, unread, rate, slowness};
-  return place;
+CallCandidate candidate(double streams, double backlog, double rate, double slowness) {
+  CallCandidate candidate;
+  candidate.use = {streams, backlog, rate, slowness};
+  return candidate;
 }
 
 constexpr CallShape kPrompt{9'000, 6'300, 1};
 constexpr CallShape kStream{800, 200, 2};
 
 TEST_CASE("The cost rises with the prefill backlog, with slowness, and with streams on a slow replica") {
-  CHECK(callCost(kPrompt, place(0, 5'000, 0, 1)) > callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kPrompt, place(0, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kPrompt, place(20, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 2)));
-  CHECK(callCost(kPrompt, place(20, 0, 0, 1)) == callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kStream, place(0, 0, 20'000, 2)) > callCost(kStream, place(0, 0, 0, 2)));
+  CHECK(callCost(kPrompt, candidate(0, 5'000, 0, 1)) > callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, candidate(0, 0, 0, 2)) > callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, candidate(20, 0, 0, 2)) > callCost(kPrompt, candidate(0, 0, 0, 2)));
+  CHECK(callCost(kPrompt, candidate(20, 0, 0, 1)) == callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kStream, candidate(0, 0, 20'000, 2)) > callCost(kStream, candidate(0, 0, 0, 2)));
 }
 
 TEST_CASE("A cached prefix lowers the cost by its own tokens at most") {
-  CallPlace home = place(0, 0, 0, 1);
+  CallCandidate home = candidate(0, 0, 0, 1);
   home.is_home = true;
-  CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, place(0, 0, 0, 1)) - 6'300));
+  CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, candidate(0, 0, 0, 1)) - 6'300));
   home.use.unread_tokens = 7'000;
-  CHECK(callCost(kPrompt, home) > callCost(kPrompt, place(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, home) > callCost(kPrompt, candidate(0, 0, 0, 1)));
   CHECK(callCost({100, 6'300, 0}, home) >= 0);
 }
 
@@ -46,7 +46,7 @@
   std::deque<double> times;                      ///< time that each prompt has waited, ms
   std::vector<std::pair<double, bool>> streams;  ///< remaining ms, whether the stream is late
   std::deque<double> read;  ///< tokens prefilled per step of 10 ms, over the last half second
-  double unread() const {
+  double backlog() const {
     double sum = 0;
     for (const double tokens : prompts) {
       sum += tokens;
@@ -65,28 +65,28 @@
 /// Simulates 60 s of 12 calls a second with 2,900 uncached prompt tokens and 12 calls a second with a long
 /// stream, on one fast and two slow replicas. The placement uses loads that are 400 ms old.
 template <class Choose>
-Served play(std::uint64_t seed, Choose choose) {
+Served simulate(std::uint64_t seed, Choose choose) {
   constexpr double kStepMs = 10;
   constexpr double kTokensPerMs = 60;
   constexpr double kCallsPerSecond = 12;
   constexpr double kPromptTokens = 2'900;
   constexpr double kInTimeMs = 800;
-  constexpr int kLag = 40;
+  constexpr int kLoadAgeSteps = 40;
   Random random(seed);
   std::array<Replica, 3> replicas{Replica{1, {}, {}, {}, {}}, Replica{2.2, {}, {}, {}, {}},
                                   Replica{2.2, {}, {}, {}, {}}};
   std::array<double, 3> rates{};
-  std::deque<std::array<CallPlace, 3>> history;
+  std::deque<std::array<CallCandidate, 3>> history;
   Served served;
   for (int step = 0; step < 6'000; ++step) {
-    std::array<CallPlace, 3> now;
+    std::array<CallCandidate, 3> now;
     for (std::size_t i = 0; i < 3; ++i) {
       rates[i] *= 1 - kStepMs / 2'000;
-      now[i] = place(static_cast<double>(replicas[i].streams.size()), replicas[i].unread(), rates[i] / 2,
-                     replicas[i].slowness);
+      now[i] = candidate(static_cast<double>(replicas[i].streams.size()), replicas[i].backlog(), rates[i] / 2,
+                         replicas[i].slowness);
     }
     history.push_back(now);
-    if (history.size() > kLag) {
+    if (history.size() > kLoadAgeSteps) {
       history.pop_front();
     }
     for (const bool is_prompt : {true, false}) {
@@ -126,14 +126,14 @@
       if (replica.read.size() > 50) {
         replica.read.pop_front();
       }
-      double read_lately = 0;
+      double recently_prefilled = 0;
       for (const double tokens : replica.read) {
-        read_lately += tokens;
+        recently_prefilled += tokens;
       }
-      const bool held_up = replica.slowness > 1.5 && read_lately > 8'000;
+      const bool delayed = replica.slowness > 1.5 && recently_prefilled > 8'000;
       for (auto& [left, late] : replica.streams) {
         left -= kStepMs;
-        late = late || held_up;
+        late = late || delayed;
       }
       std::erase_if(replica.streams, [&served](const auto& stream) {
         const bool ended = stream.first <= 0;
@@ -158,8 +158,8 @@
     sum.streams_in_time += part.streams_in_time;
   };
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    add(even, play(seed, [](const CallShape&, const auto&, Random& random) { return random.below(3); }));
-    add(by_cost, play(seed, [](const CallShape& call, const auto& places, Random& random) {
+    add(even, simulate(seed, [](const CallShape&, const auto&, Random& random) { return random.below(3); }));
+    add(by_cost, simulate(seed, [](const CallShape& call, const auto& places, Random& random) {
           std::size_t best = 0;
           double least = 0;
           for (std::size_t i = 0; i < places.size(); ++i) {
--- a/tests/balance/load_test.cc
+++ b/tests/balance/load_test.cc
@@ -15,10 +15,10 @@
 constexpr TimePoint kStart{1000s};
 
 wire::CallRouterStatus status(const std::string& router, std::vector<wire::ReplicaUse> uses) {
-  wire::CallRouterStatus told;
-  told.router = NodeName(router);
-  told.uses = std::move(uses);
-  return told;
+  wire::CallRouterStatus report;
+  report.router = NodeName(router);
+  report.uses = std::move(uses);
+  return report;
 }
 
 wire::ReplicaLoad loadOf(LoadTally& tally, std::uint32_t replica, TimePoint now) {
@@ -71,20 +71,20 @@
 
 TEST_CASE("A router replaces its share of the aggregates by its current local load") {
   LoadBoard board;
-  board.onTold({{7, 2, 500, 0}});
+  board.onReported({{7, 2, 500, 0}});
   CHECK_FALSE(board.isFresh(kStart));
   board.accept({{7, 10, 4'000, 1'000, 220}}, kStart);
   CHECK(board.isFresh(kStart + 2s));
   CHECK_FALSE(board.isFresh(kStart + 3s));
-  const FleetUse use = board.use(7, {5, 900});
+  const FleetUse use = board.estimateLoad(7, {5, 900});
   CHECK(use.streams == 13);
   CHECK(use.unread_tokens == 4'400);
   CHECK(use.slowness == Approx(2.2));
-  CHECK(board.use(8, {1, 100}).streams == 1);
+  CHECK(board.estimateLoad(8, {1, 100}).streams == 1);
   CHECK(board.slowness(8) == 1);
-  board.onTold({{7, 40, 90'000, 0}});  // newer than the aggregates, which don't contain it yet
-  CHECK(board.use(7, {}).streams == 0);
-  CHECK(board.use(7, {}).unread_tokens == 0);
+  board.onReported({{7, 40, 90'000, 0}});  // newer than the aggregates, which don't contain it yet
+  CHECK(board.estimateLoad(7, {}).streams == 0);
+  CHECK(board.estimateLoad(7, {}).unread_tokens == 0);
 }
 
 TEST_CASE("Load keys of different names differ and are stable") {
