--- a/src/calls/call_router.cc
+++ b/src/calls/call_router.cc
@@ -10,18 +10,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kDefaultTarget = 1s;
+constexpr Duration kDefaultTargetLatency = 1s;
 /// Minimum interval between two attempts of a waiting call to find a replica.
-constexpr Duration kLookAgain = 10ms;
+constexpr Duration kMinRetryInterval = 10ms;
 /// Minimum time that a call needs on a replica; with less time left it isn't sent.
-constexpr Duration kLeastTimeLeft = 5ms;
+constexpr Duration kMinTimeLeft = 5ms;
 /// Maximum wait for the first catalog, as a time and as a share of the call's time limit.
 constexpr Duration kCatalogWait = 1500ms;
 constexpr double kCatalogWaitShare = 0.5;
 constexpr Duration kCrashExpiryInterval = 1s;
-constexpr Duration kComeBackAtOnce = 10ms;
-constexpr Duration kComeBackSoon = 200ms;
-constexpr Duration kComeBackLater = 1s;
+constexpr Duration kRetryImmediately = 10ms;
+constexpr Duration kRetrySoon = 200ms;
+constexpr Duration kRetryLater = 1s;
 
 Duration scaled(Duration duration, double share) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * share));
@@ -29,7 +29,7 @@
 
 Duration targetOf(const wire::CallRoute& route) {
   return route.target_latency_ms > 0 ? Duration(std::chrono::milliseconds(route.target_latency_ms))
-                                     : kDefaultTarget;
+                                     : kDefaultTargetLatency;
 }
 
 std::string_view view(const std::string& text) {
@@ -37,7 +37,7 @@
 }
 
 /// Returns what a call without a replica waits for, as text for log lines.
-std::string_view reasonToWait(ChoiceFailure failure) {
+std::string_view waitReason(ChoiceFailure failure) {
   switch (failure) {
     case ChoiceFailure::NotHeld:
       return "model";
@@ -95,11 +95,11 @@
   state.arrived = now;
   state.deadline = now + state.request.time_limit.value_or(30s);
   if (calls_.size() > settings_.max_calls) {
-    refuse(call, ResultCode::QueueFull, "the router has reached its limit of open calls", kComeBackSoon, now);
+    refuse(call, ResultCode::QueueFull, "the router has reached its limit of open calls", kRetrySoon, now);
     return finish(now);
   }
   const Duration whole = state.deadline - now;
-  state.waits_until = now + std::min(kCatalogWait, scaled(whole, kCatalogWaitShare));
+  state.wait_deadline = now + std::min(kCatalogWait, scaled(whole, kCatalogWaitShare));
   if (routes_) {
     routeCall(call, now);
     return finish(now);
@@ -111,7 +111,7 @@
   return finish(now);
 }
 
-void CallRouter::routeWaiting(TimePoint now) {
+void CallRouter::routeUnroutedCalls(TimePoint now) {
   for (const CallNumber number : std::exchange(unrouted_, {})) {
     const CallPointer call = calls_.find(number);
     if (call != calls_.end()) {
@@ -137,7 +137,7 @@
   state.deadline = std::min(state.deadline, state.arrived + std::chrono::milliseconds(route->timeout_ms));
   if (now >= refuse_from_ && state.deadline > drain_end_) {
     refuse(call, ResultCode::RouterDraining, "the call's deadline is after the end of the router's drain",
-           kComeBackAtOnce, now);
+           kRetryImmediately, now);
     return;
   }
   if (tenant == nullptr || charge(call, *tenant, now)) {
@@ -159,12 +159,13 @@
     state.need.adapter = state.request.adapter;
     state.need.prompt_tokens = state.request.prompt_tokens;
     state.need.shared_tokens = state.request.shared_tokens;
-    const auto stream_time = stream_times_.find(route->name);
-    state.need.stream_time = stream_time == stream_times_.end() ? Duration::zero() : stream_time->second;
+    const auto stream_duration = stream_durations_.find(route->name);
+    state.need.stream_duration =
+        stream_duration == stream_durations_.end() ? Duration::zero() : stream_duration->second;
     state.need.affinity_key = route->affinity ? state.request.affinity_key : 0;
     if (!state.need.model.empty()) {
       ++arrivals_[{state.need.service, state.need.model, state.need.adapter}];
-      interests_.note(state.need.service, state.need.model, state.need.adapter, now);
+      interests_.record(state.need.service, state.need.model, state.need.adapter, now);
     }
   }
   budget_.onCall(state.need.service, now);
@@ -183,15 +184,15 @@
 
 void CallRouter::dispatch(CallPointer call, TimePoint now) {
   Call& state = call->second;
-  state.retry.reset();
-  if (state.tenant && !mayStillRun(call, now)) {
+  state.retry_at.reset();
+  if (state.tenant && !revalidateTenant(call, now)) {
     return;
   }
   if (crashes_.standing(state.request.fingerprint) == quarantine::Standing::Quarantined) {
     refuseQuarantined(call, now);
     return;
   }
-  if (state.deadline - now < kLeastTimeLeft) {
+  if (state.deadline - now < kMinTimeLeft) {
     refuse(call, ResultCode::DeadlineTooShort, "the remaining time is too short to run the call",
            std::nullopt, now);
     return;
@@ -199,14 +200,14 @@
   if (waitForTrial(call, now)) {
     return;
   }
-  useCredit(state, now);
+  selectCredit(state, now);
   const Choice choice = replicas_.choose(state.need, now);
   if (choice.replica == nullptr) {
-    seekCredit(call, choice, now);
+    obtainCredit(call, choice, now);
     waitForReplica(call, choice, now);
   } else {
     for (const ReplicaId& limited : choice.limited) {
-      replicas_.limits().askSpare(limited, now);
+      replicas_.limits().requestSpareCredit(limited, now);
     }
     sendTo(call, *choice.replica, choice.use, now);
   }
@@ -216,7 +217,7 @@
                         TimePoint now) {
   Call& state = call->second;
   waiting_.erase(call->first);
-  chargeAnotherRun(state, now);
+  chargeRetry(state, now);
   const AttemptNumber number{next_attempt_++};
   Attempt attempt;
   attempt.number = number;
@@ -229,10 +230,10 @@
   ++state.attempts;
   ++counts_.attempts;
   attempts_[number] = call->first;
-  spendCredit(state, attempt, now);
+  consumeCredit(state, attempt, now);
   if (const auto reopening = replicas_.onSent(replica, now)) {
-    attempt.reopening = reopening->round;
-    noteReopening(replica.routed.id, *reopening);
+    attempt.reopening_round = reopening->round;
+    logReopening(replica.routed.id, *reopening);
   }
   state.attempt = attempt;
   SendAttemptEffect effect;
@@ -266,7 +267,7 @@
   setTimer(call);
 }
 
-void CallRouter::noteReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening) {
+void CallRouter::logReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening) {
   if (reopening.first) {
     log_.write(LogLevel::Info, "replica.backoff_over",
                {{"replica", view(replica.value)},
@@ -281,15 +282,15 @@
   waiting.deadline = call.deadline;
   waiting.target = targetOf(*call.route);
   if (call.route->patience_ms > 0) {
-    waiting.patience = std::chrono::milliseconds(call.route->patience_ms);
+    waiting.caller_idle_timeout = std::chrono::milliseconds(call.route->patience_ms);
   }
-  waiting.untouched = !call.started && !call.may_have_run;
+  waiting.not_started = !call.started && !call.may_have_run;
   return waiting;
 }
 
-bool CallRouter::sendAway(CallPointer call, const Choice& choice, TimePoint now) {
+bool CallRouter::refuseWithRetryTime(CallPointer call, const Choice& choice, TimePoint now) {
   const Call& state = call->second;
-  if (state.credit.ask || state.credit.granted) {
+  if (state.credit.pending_request || state.credit.granted) {
     return false;
   }
   const auto loaded = loads_.readyAt(state.need.service, state.need.model, now);
@@ -301,36 +302,37 @@
   if (!ready) {
     return false;
   }
-  auto absence = comeBackAfter(waitingCall(state), *ready, now);
-  if (!absence) {
-    absence = refusedUntil(waitingCall(state), *ready, now);
+  auto retry_after = retryDelayForLateModel(waitingCall(state), *ready, now);
+  if (!retry_after) {
+    retry_after = retryDelayIfUnservable(waitingCall(state), *ready, now);
   }
-  if (!absence) {
+  if (!retry_after) {
     return false;
   }
   if (opens_first) {
-    absence = spreadAbsence(*absence, random_.unit());
+    retry_after = spreadRetryDelay(*retry_after, random_.unit());
   }
   if (!state.need.model.empty()) {
-    loads_.expectBack(state.need.service, state.need.model, now + *absence);
+    loads_.addReturningCaller(state.need.service, state.need.model, now + *retry_after);
   }
   if (opens_first && limited) {
-    refuse(call, ResultCode::ReplicaLimited, "no replica has credit left under its rate limit", absence, now);
-  } else if (opens_first) {
-    refuse(call, ResultCode::ReplicaBackoff, "all replicas that could run the call are in a backoff", absence,
+    refuse(call, ResultCode::ReplicaLimited, "no replica has credit left under its rate limit", retry_after,
            now);
+  } else if (opens_first) {
+    refuse(call, ResultCode::ReplicaBackoff, "all replicas that could run the call are in a backoff",
+           retry_after, now);
   } else {
-    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is still being loaded", absence, now);
+    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is still being loaded", retry_after, now);
   }
   return true;
 }
 
-Duration CallRouter::comeBackAfterRefusals(const Call& call, TimePoint now) {
+Duration CallRouter::retryTimeAfterRefusals(const Call& call, TimePoint now) {
   const auto opens = call.credit.opens_at ? call.credit.opens_at : replicas_.opensAt(call.need, now);
   if (opens) {
-    return spreadAbsence(std::max<Duration>(*opens - now, kComeBackAtOnce), random_.unit());
+    return spreadRetryDelay(std::max<Duration>(*opens - now, kRetryImmediately), random_.unit());
   }
-  return call.last_failure == ResultCode::ReplicaLimited ? kComeBackLater : kComeBackSoon;
+  return call.last_failure == ResultCode::ReplicaLimited ? kRetryLater : kRetrySoon;
 }
 
 void CallRouter::waitForReplica(CallPointer call, const Choice& choice, TimePoint now) {
@@ -338,34 +340,34 @@
   const ChoiceFailure failure = choice.failure;
   const bool known_to_open = failure == ChoiceFailure::NotHeld || failure == ChoiceFailure::Backoff ||
                              failure == ChoiceFailure::Limited;
-  if (known_to_open && sendAway(call, choice, now)) {
+  if (known_to_open && refuseWithRetryTime(call, choice, now)) {
     return;
   }
   const bool first = waiting_.insert(call->first).second;
   if (first || known_to_open) {
     const TimePoint limit =
         std::min(waitLimit(waitingCall(state), failure, now), std::max(now, refuse_from_));
-    state.waits_until = first ? limit : std::max(state.waits_until, limit);
+    state.wait_deadline = first ? limit : std::max(state.wait_deadline, limit);
   }
   if (first) {
     counts_.backoff_waits += failure == ChoiceFailure::Backoff ? 1 : 0;
     counts_.limit_waits += failure == ChoiceFailure::Limited ? 1 : 0;
     log_.write(LogLevel::Info, "call.waits",
                {{"request", view(state.request.id.value)},
-                {"for", reasonToWait(failure)},
-                {"until_ms", toMilliseconds(state.waits_until - now)},
+                {"for", waitReason(failure)},
+                {"until_ms", toMilliseconds(state.wait_deadline - now)},
                 {"opens_in_ms", choice.opens_at ? toMilliseconds(*choice.opens_at - now) : -1},
                 {"replicas", static_cast<std::int64_t>(replicas_.size())}});
   }
   state.last_failure = refusalCode(failure);
-  if (failure == ChoiceFailure::NotHeld && !std::exchange(state.counted_missing, true)) {
-    feed_.hurry();
+  if (failure == ChoiceFailure::NotHeld && !std::exchange(state.demand_expedited, true)) {
+    feed_.expedite();
   }
-  if (choice.look_again) {
-    state.retry = std::max(*choice.look_again, now + kLookAgain);
+  if (choice.recheck_at) {
+    state.retry_at = std::max(*choice.recheck_at, now + kMinRetryInterval);
   }
   if (state.credit.granted) {
-    state.retry = std::min(state.retry.value_or(TimePoint::max()), state.credit.granted->from);
+    state.retry_at = std::min(state.retry_at.value_or(TimePoint::max()), state.credit.granted->valid_from);
   }
   setTimer(call);
 }
@@ -387,7 +389,7 @@
 void CallRouter::abandon(CallPointer call, ResultCode code, const std::string& detail, TimePoint now) {
   Call& state = call->second;
   effects_.emplace_back(CancelAttemptEffect{state.attempt->number});
-  noteMayHaveRun(state);
+  recordPossibleRun(state);
   release(state);
   refuse(call, code, detail, std::nullopt, now);
 }
@@ -396,7 +398,7 @@
   if (call->second.attempt) {
     release(call->second);
   }
-  dropCredit(call->second);
+  releaseCredit(call->second);
   timers_.erase({call->second.timer, call->first});
   waiting_.erase(call->first);
   unrouted_.erase(call->first);
@@ -425,9 +427,9 @@
   Call& state = call->second;
   timers_.erase({state.timer, call->first});
   state.timer = state.deadline;
-  if (!state.attempt && !state.awaits_probe && !awaiting_credit_.contains(call->first)) {
-    state.timer = std::min(state.timer, state.waits_until);
-    state.timer = state.retry ? std::min(state.timer, *state.retry) : state.timer;
+  if (!state.attempt && !state.probed_replica && !awaiting_credit_.contains(call->first)) {
+    state.timer = std::min(state.timer, state.wait_deadline);
+    state.timer = state.retry_at ? std::min(state.timer, *state.retry_at) : state.timer;
   }
   timers_.insert({state.timer, call->first});
 }
@@ -440,12 +442,12 @@
   } else if (state.attempt) {
     setTimer(call);
   } else if (state.route == nullptr) {
-    refuse(call, state.last_failure, "the router has not received a catalog and its proof yet",
-           kComeBackLater, now);
-  } else if (now >= state.deadline || now >= state.waits_until) {
+    refuse(call, state.last_failure, "the router has not received a catalog and its proof yet", kRetryLater,
+           now);
+  } else if (now >= state.deadline || now >= state.wait_deadline) {
     refuse(call, state.last_failure, "no replica became available in time",
-           state.last_failure == ResultCode::LoadCannotFinishInTime ? kComeBackLater
-                                                                    : comeBackAfterRefusals(state, now),
+           state.last_failure == ResultCode::LoadCannotFinishInTime ? kRetryLater
+                                                                    : retryTimeAfterRefusals(state, now),
            now);
   } else {
     dispatch(call, now);
@@ -482,10 +484,10 @@
   drain_end_ = end;
   for (const CallNumber number : waiting_) {
     const CallPointer call = calls_.find(number);
-    call->second.waits_until = std::min(call->second.waits_until, refuse_from);
+    call->second.wait_deadline = std::min(call->second.wait_deadline, refuse_from);
     setTimer(call);
   }
-  feed_.tellAll();
+  feed_.notifyAll();
   return finish(now);
 }
 
@@ -495,19 +497,19 @@
     if (call->second.attempt) {
       abandon(call, ResultCode::ReplicaFailed, "the router stopped while the call ran on a replica", now);
     } else {
-      refuse(call, ResultCode::RouterDraining, "the router is stopping", kComeBackAtOnce, now);
+      refuse(call, ResultCode::RouterDraining, "the router is stopping", kRetryImmediately, now);
     }
   }
   return finish(now);
 }
 
 Effects CallRouter::finish(TimePoint now) {
-  if (std::exchange(dispatch_wanted_, false)) {
+  if (std::exchange(dispatch_pending_, false)) {
     dispatchWaiting(now);
   }
   sendStatuses(now);
-  tellQuotaUse(now);
-  tellLimits(now);
+  sendQuotaUse(now);
+  sendLimitRequest(now);
   return std::exchange(effects_, {});
 }
 
--- a/src/calls/call_router.h
+++ b/src/calls/call_router.h
@@ -120,24 +120,24 @@
     AttemptNumber number;
     ReplicaId replica;
     TimePoint sent{};
-    std::uint64_t unread_tokens = 0;  ///< in the replica's prefill backlog until the first progress
-    bool with_credit = false;         ///< the leader granted it a credit under the replica's rate limit
-    std::uint64_t reopening = 0;      ///< backoff round that the attempt probes; 0: none, or accepted
-    int paced_events = 0;             ///< number of events since measured_since
-    TimePoint paced_since{};
+    std::uint64_t unread_tokens = 0;    ///< in the replica's prefill backlog until the first progress
+    bool with_credit = false;           ///< the leader granted it a credit under the replica's rate limit
+    std::uint64_t reopening_round = 0;  ///< backoff round that the attempt probes; 0: none, or accepted
+    int measured_events = 0;            ///< number of events since measured_since
+    TimePoint measured_since{};
   };
   /// Credit under the rate limit of a replica.
   struct LimitCredit {
     ReplicaId replica;
-    TimePoint from{};
+    TimePoint valid_from{};
   };
   /// State of a call's requests for such a credit.
   struct CreditSearch {
-    std::optional<std::uint64_t> ask;    ///< number of the pending request
-    ReplicaId asked;                     ///< replica that the pending request is for
-    std::optional<LimitCredit> granted;  ///< not used yet
-    std::set<ReplicaId> refused;         ///< replicas that refused credit for the time the call can wait
-    std::optional<TimePoint> opens_at;   ///< earliest time of a credit from one of `refused`
+    std::optional<std::uint64_t> pending_request;  ///< number of the pending request
+    ReplicaId requested_from;                      ///< replica that the pending request is for
+    std::optional<LimitCredit> granted;            ///< not used yet
+    std::set<ReplicaId> refused;        ///< replicas that refused credit for the time the call can wait
+    std::optional<TimePoint> opens_at;  ///< earliest time of a credit from one of `refused`
   };
   struct Call {
     CallRequest request;
@@ -146,26 +146,26 @@
     ReplicaNeed need;
     TimePoint arrived{};
     TimePoint deadline{};
-    TimePoint waits_until{};         ///< limit of the wait for a replica
-    std::optional<TimePoint> retry;  ///< next time at which a replica is looked for
+    TimePoint wait_deadline{};          ///< limit of the wait for a replica
+    std::optional<TimePoint> retry_at;  ///< next time at which a replica is looked for
     std::optional<Attempt> attempt;
-    CreditSearch credit;                    ///< credit under replica rate limits
-    std::optional<TenantName> tenant;       ///< owner of the call's key
-    std::int64_t charged = 0;               ///< amount charged to the tenant's quota
-    std::uint64_t account = 0;              ///< account that was charged, see tenancy::QuotaReply
-    bool charge_ran = false;                ///< the attempt that the charge covers may have run
-    std::uint32_t priority = 0;             ///< 0 is the highest priority
-    std::uint32_t attempts = 0;             ///< attempts that may have run the call
-    std::uint32_t unrun = 0;                ///< attempts that replicas refused without running the call
-    std::uint32_t ended = 0;                ///< number of `attempts` whose replica has crashed
-    std::optional<ReplicaId> awaits_probe;  ///< replica being probed, which broke off the call
-    std::string failure;                    ///< reason of the last failed attempt
-    bool counted_missing = false;
+    CreditSearch credit;                        ///< credit under replica rate limits
+    std::optional<TenantName> tenant;           ///< owner of the call's key
+    std::int64_t charged = 0;                   ///< amount charged to the tenant's quota
+    std::uint64_t account = 0;                  ///< account that was charged, see tenancy::QuotaReply
+    bool charged_attempt_may_have_run = false;  ///< the attempt that the charge covers may have run
+    std::uint32_t priority = 0;                 ///< 0 is the highest priority
+    std::uint32_t attempts = 0;                 ///< attempts that may have run the call
+    std::uint32_t refusals = 0;                 ///< attempts that replicas refused without running the call
+    std::uint32_t crashed_attempts = 0;         ///< number of `attempts` whose replica has crashed
+    std::optional<ReplicaId> probed_replica;    ///< replica being probed, which broke off the call
+    std::string failure_reason;                 ///< reason of the last failed attempt
+    bool demand_expedited = false;
     bool may_have_run = false;
     bool started = false;  ///< the headers of the stream were forwarded to the caller
     std::optional<std::uint64_t> last_event;
     TimePoint last_event_at{};
-    Duration longest_pause{};  ///< longest gap between events forwarded to the caller
+    Duration longest_gap{};  ///< longest gap between events forwarded to the caller
     ResultCode last_failure = ResultCode::NoReplica;
     TimePoint timer{};  ///< current entry in timers_
   };
@@ -186,82 +186,82 @@
   /// the catalog.
   bool identifyTenant(CallPointer call, const wire::CallRoute& route, const wire::Tenant*& tenant,
                       TimePoint now);
-  void refuseUnproved(CallPointer call, TimePoint now);
+  void refuseUnprovenCatalog(CallPointer call, TimePoint now);
   /// Checks that the key still belongs to the tenant and that the catalog is still proven; otherwise refuses
   /// the call and returns false.
-  bool mayStillRun(CallPointer call, TimePoint now);
+  bool revalidateTenant(CallPointer call, TimePoint now);
   /// Charges the tenant's quota. Returns false if the call was refused or waits for credit.
   bool charge(CallPointer call, const wire::Tenant& tenant, TimePoint now);
   void onQuotaReply(CallPointer call, const tenancy::QuotaReply& reply, TimePoint now);
   void resolveQuotas(const std::vector<tenancy::QuotaResolved>& resolved, TimePoint now);
   /// Records that the last attempt may have run. A further attempt is charged to the tenant's quota again.
-  static void noteMayHaveRun(Call& call);
+  static void recordPossibleRun(Call& call);
   /// Charges the quota for an attempt that follows one which may have run: the quota counts what replicas run
   /// for the tenant, not what callers request.
-  void chargeAnotherRun(Call& call, TimePoint now);
+  void chargeRetry(Call& call, TimePoint now);
   /// Refunds the quota charge of a call that certainly doesn't run.
   void giveBack(Call& call, TimePoint now);
-  void tellQuotaUse(TimePoint now);
-  void routeWaiting(TimePoint now);
+  void sendQuotaUse(TimePoint now);
+  void routeUnroutedCalls(TimePoint now);
   void dispatch(CallPointer call, TimePoint now);
   void sendTo(CallPointer call, Replica& replica, const std::optional<balance::FleetUse>& use, TimePoint now);
-  void noteReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening);
+  void logReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening);
   void waitForReplica(CallPointer call, const Choice& choice, TimePoint now);
   static WaitingCall waitingCall(const Call& call);
   /// Refuses the call with a retry time, if the caller is served better that way: at that time its model is
   /// expected to be loaded, or a replica to accept calls again. Returns true if the call has ended.
-  bool sendAway(CallPointer call, const Choice& choice, TimePoint now);
+  bool refuseWithRetryTime(CallPointer call, const Choice& choice, TimePoint now);
   /// Returns the retry time for a caller whose call was refused because no replica accepted it.
-  Duration comeBackAfterRefusals(const Call& call, TimePoint now);
+  Duration retryTimeAfterRefusals(const Call& call, TimePoint now);
   void dispatchWaiting(TimePoint now);
   /// Returns the call of the attempt; nullopt if the attempt has ended.
-  std::optional<CallPointer> callOf(AttemptNumber attempt);
+  std::optional<CallPointer> findCall(AttemptNumber attempt);
   Replica* release(Call& call);
   /// Called when the replica has accepted the attempt and runs it.
-  void noteTaken(Attempt& attempt);
+  void onAttemptAccepted(Attempt& attempt);
   // call_router_limits.cc
   /// Selects the call's credit if it may be used now; an expired credit is dropped.
-  void useCredit(Call& call, TimePoint now);
+  void selectCredit(Call& call, TimePoint now);
   /// Requests credit under the rate limit of a replica that hasn't refused it yet.
-  void seekCredit(CallPointer call, const Choice& choice, TimePoint now);
+  void obtainCredit(CallPointer call, const Choice& choice, TimePoint now);
   /// Consumes the call's credit, or the router's local allowance, when the call is sent.
-  void spendCredit(Call& call, Attempt& attempt, TimePoint now);
+  void consumeCredit(Call& call, Attempt& attempt, TimePoint now);
   /// Releases the call's credit. A pending request is abandoned and an unused credit is returned to the
   /// leader.
-  void dropCredit(Call& call);
+  void releaseCredit(Call& call);
   void resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now);
   void resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now);
-  void tellLimits(TimePoint now);
+  void sendLimitRequest(TimePoint now);
   // call_router_crashes.cc
   /// Starts a probe of the replica that broke off the call, unless one is pending.
   void probe(Call& call, const ReplicaId& replica, const std::string& address);
-  void noteReplicaEnd(const ReplicaId& replica, const std::vector<ProbedCall>& calls, TimePoint now);
+  void recordReplicaCrash(const ReplicaId& replica, const std::vector<ProbedCall>& calls, TimePoint now);
   /// Records that the call ran to completion, which clears it of suspicion.
-  void noteRun(const Call& call, TimePoint now);
-  void takeCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now);
+  void recordCompletedRun(const Call& call, TimePoint now);
+  void applyCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now);
   /// Restricts a call that would be quarantined after one more crash to replicas of its own. Returns true if
   /// the call waits until all routers know the other suspected calls, with which it must not share a replica.
   bool waitForTrial(CallPointer call, TimePoint now);
   /// Ends the calls with this fingerprint, except streams that have delivered events.
   void enforceQuarantine(const wire::CallFingerprint& fingerprint, TimePoint now);
   void refuseQuarantined(CallPointer call, TimePoint now);
-  void tellMembers(const std::vector<wire::CrashRecord>& records);
+  void sendCrashRecords(const std::vector<wire::CrashRecord>& records);
   /// sent: time at which the call that was answered was sent; nullopt: unknown.
-  void takeNotice(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
+  void applyNotice(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
+                   TimePoint now);
+  void applyLimit(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
                   TimePoint now);
-  void takeLimit(const ReplicaId& replica, const ReplicaNotice& notice, std::optional<TimePoint> sent,
-                 TimePoint now);
   /// Counts and logs headers that are malformed or unknown.
-  void noteUnread(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now);
-  void notePause(Call& call, TimePoint now);
+  void logUnreadableHeaders(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now);
+  void recordGap(Call& call, TimePoint now);
   /// Removes the prompt from the replica's prefill backlog.
-  void notePromptRead(Attempt& attempt);
-  /// counts: the attempt reached a replica, so that the next one is charged to the retry budget.
-  void retryUnrun(CallPointer call, ResultCode reason, bool counts, TimePoint now);
-  void retryMaybeRun(CallPointer call, ResultCode reason, const std::string& detail, TimePoint now);
-  void noteStreamTime(const Call& call, TimePoint now);
+  void onPromptPrefilled(Attempt& attempt);
+  /// spends_budget: the attempt reached a replica, so that the next one is charged to the retry budget.
+  void retryNotRun(CallPointer call, ResultCode reason, bool spends_budget, TimePoint now);
+  void retryPossiblyRun(CallPointer call, ResultCode reason, const std::string& detail, TimePoint now);
+  void recordStreamDuration(const Call& call, TimePoint now);
   static bool isRepeatable(const Call& call);
-  static bool mayRunAgain(const Call& call);
+  static bool mayRetry(const Call& call);
   void deliver(CallPointer call, AttemptNumber attempt, int status, TimePoint now);
   void refuse(CallPointer call, ResultCode code, const std::string& detail,
               std::optional<Duration> retry_after, TimePoint now);
@@ -274,9 +274,9 @@
   void setTimer(CallPointer call);
   void applyUpdate(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now);
   /// Applies a catalog with a higher version, regardless of the member that sent it.
-  void takeCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
-                   std::optional<TimePoint> leader_heard, TimePoint now);
-  void noteTable(const wire::ServiceUpdate& update, TimePoint now);
+  void applyCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
+                    std::optional<TimePoint> leader_heard, TimePoint now);
+  void logTableChanges(const wire::ServiceUpdate& update, TimePoint now);
   std::vector<wire::ModelWant> wants(TimePoint now);
   void sendStatuses(TimePoint now);
   Effects finish(TimePoint now);
@@ -299,23 +299,23 @@
   std::set<CallNumber> unrouted_;         ///< waiting for the first catalog or its first proof
   std::set<CallNumber> awaiting_credit_;  ///< waiting for quota credit of their tenants
   /// Calls by the number of their pending credit request.
-  std::map<std::uint64_t, CallNumber> limit_asks_;
+  std::map<std::uint64_t, CallNumber> credit_requests_;
   /// Number of calls since the last report to the leader, by service, model and adapter.
   std::map<std::tuple<ServiceName, ModelName, std::string>, std::uint32_t> arrivals_;
   CallRouterCounts counts_;
   std::uint64_t table_changes_ = 0;  ///< changed entries of the replica table since it was last logged
-  TimePoint next_table_note_{};
-  TimePoint next_unread_note_{};
+  TimePoint next_table_log_{};
+  TimePoint next_unreadable_log_{};
   std::uint64_t next_attempt_ = 1;
-  std::map<RouteName, Duration> stream_times_;  ///< moving average of the duration of a route's streams
+  std::map<RouteName, Duration> stream_durations_;  ///< moving average of the duration of a route's streams
   quarantine::CrashLedger crashes_;
   /// Pending probes, each with the calls that the replica broke off.
-  std::map<ReplicaId, std::vector<ProbedCall>> probes_;
+  std::map<ReplicaId, std::vector<ProbedCall>> pending_probes_;
   TimePoint next_crash_expiry_{};
   bool draining_ = false;
   TimePoint refuse_from_ = TimePoint::max();  ///< set while draining
   TimePoint drain_end_ = TimePoint::max();
-  bool dispatch_wanted_ = false;
+  bool dispatch_pending_ = false;
   Effects effects_;
 };
 
--- a/src/calls/call_router_attempts.cc
+++ b/src/calls/call_router_attempts.cc
@@ -11,19 +11,19 @@
 using namespace std::chrono_literals;
 
 /// Maximum number of refusals by replicas that didn't run the call, before the caller is refused.
-constexpr std::uint32_t kMostUnrun = 3;
+constexpr std::uint32_t kMaxRefusals = 3;
 /// A replica that refused a call because it is full or draining gets no calls for this time.
-constexpr Duration kRefusalPause = 100ms;
+constexpr Duration kRefusalBackoff = 100ms;
 /// Minimum time that a call needs on a replica; with less time left it isn't sent.
-constexpr Duration kLeastTimeLeft = 5ms;
+constexpr Duration kMinTimeLeft = 5ms;
 constexpr int kFirstErrorStatus = 500;
 constexpr int kMisdirected = 421;
 constexpr int kUnavailable = 503;
 /// Minimum interval between two log lines about unreadable notices.
-constexpr Duration kUnreadNoteInterval = 1s;
+constexpr Duration kUnreadableLogInterval = 1s;
 /// Number of gaps in a stream that are averaged. Averaging is needed because a router that gets a tenth of a
 /// core reads two or three events at once.
-constexpr int kPacedEvents = 8;
+constexpr int kGapsPerMean = 8;
 
 std::string_view view(const std::string& text) {
   return text;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::optional<CallRouter::CallPointer> CallRouter::callOf(AttemptNumber attempt) {
+std::optional<CallRouter::CallPointer> CallRouter::findCall(AttemptNumber attempt) {
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end()) {
     return std::nullopt;
@@ -39,7 +39,7 @@
   return calls_.find(found->second);
 }
 
-void CallRouter::notePromptRead(Attempt& attempt) {
+void CallRouter::onPromptPrefilled(Attempt& attempt) {
   if (attempt.unread_tokens == 0) {
     return;
   }
@@ -49,20 +49,20 @@
   attempt.unread_tokens = 0;
 }
 
-void CallRouter::noteTaken(Attempt& attempt) {
-  if (const std::uint64_t round = std::exchange(attempt.reopening, 0)) {
-    replicas_.notices().onTaken(attempt.replica, round);
-    dispatch_wanted_ = dispatch_wanted_ || !waiting_.empty();
+void CallRouter::onAttemptAccepted(Attempt& attempt) {
+  if (const std::uint64_t round = std::exchange(attempt.reopening_round, 0)) {
+    replicas_.notices().onAccepted(attempt.replica, round);
+    dispatch_pending_ = dispatch_pending_ || !waiting_.empty();
   }
 }
 
 /// Ends the attempt. Returns nullptr if the replica was removed from the table because the leader no longer
 /// lists it.
 Replica* CallRouter::release(Call& call) {
-  notePromptRead(*call.attempt);
+  onPromptPrefilled(*call.attempt);
   const Attempt attempt = *call.attempt;
-  if (attempt.reopening != 0) {
-    replicas_.notices().onNotTaken(attempt.replica, attempt.reopening);
+  if (attempt.reopening_round != 0) {
+    replicas_.notices().onNotAccepted(attempt.replica, attempt.reopening_round);
   }
   call.attempt.reset();
   attempts_.erase(attempt.number);
@@ -71,52 +71,52 @@
     return nullptr;
   }
   replicas_.onReleased(*replica);
-  dispatch_wanted_ = dispatch_wanted_ || !waiting_.empty();
+  dispatch_pending_ = dispatch_pending_ || !waiting_.empty();
   return replicas_.find(attempt.replica);
 }
 
 Effects CallRouter::onAnswer(AttemptNumber attempt, const AnswerSummary& answer, TimePoint now) {
-  const auto call = callOf(attempt);
+  const auto call = findCall(attempt);
   if (!call) {
     return finish(now);
   }
   Call& state = (*call)->second;
   const ReplicaId replica_id = state.attempt->replica;
   if (!answer.unrun) {
-    noteTaken(*state.attempt);
+    onAttemptAccepted(*state.attempt);
   }
   Replica* replica = release(state);
   if (replica != nullptr) {
-    dispatch_wanted_ = ReplicaTable::onProgress(*replica, now) || dispatch_wanted_;
+    dispatch_pending_ = ReplicaTable::onProgress(*replica, now) || dispatch_pending_;
   }
   if (answer.unrun) {
     if (replica != nullptr && answer.status == kMisdirected && !state.need.model.empty()) {
-      replica->noteMissing(state.need.model, state.need.adapter, now);
+      replica->recordMissing(state.need.model, state.need.adapter, now);
     } else if (replica != nullptr && !replicas_.notices().closedUntil(replica_id, now)) {
-      replica->refused_until = now + kRefusalPause;
+      replica->refused_until = now + kRefusalBackoff;
     }
     log_.write(LogLevel::Info, "call.refused_by_replica",
                {{"request", view(state.request.id.value)},
                 {"replica", view(replica_id.value)},
                 {"status", static_cast<std::int64_t>(answer.status)}});
-    constexpr bool kCounts = true;
-    retryUnrun(*call, ResultCode::ReplicaRefused, kCounts, now);
+    constexpr bool kSpendsBudget = true;
+    retryNotRun(*call, ResultCode::ReplicaRefused, kSpendsBudget, now);
     return finish(now);
   }
-  noteRun(state, now);
+  recordCompletedRun(state, now);
   const bool failed = answer.status >= kFirstErrorStatus;
-  const bool asked_for_time =
+  const bool in_backoff =
       answer.status == kUnavailable && replicas_.notices().closedUntil(replica_id, now).has_value();
-  if (replica != nullptr && failed && !asked_for_time) {
+  if (replica != nullptr && failed && !in_backoff) {
     replica->health.onFailure(router::HealthFailure::Failed, now, random_);
   } else if (replica != nullptr && !failed) {
     replica->health.onSuccess(now);
   }
-  const bool again = failed && mayRunAgain(state) && state.deadline - now > kLeastTimeLeft &&
+  const bool again = failed && mayRetry(state) && state.deadline - now > kMinTimeLeft &&
                      budget_.spend(state.need.service, now);
   if (again) {
     ++counts_.retries;
-    noteMayHaveRun(state);
+    recordPossibleRun(state);
     dispatch(*call, now);
   } else {
     deliver(*call, attempt, answer.status, now);
@@ -125,24 +125,24 @@
 }
 
 Effects CallRouter::onHead(AttemptNumber attempt, const ReplicaNotice& notice, TimePoint now) {
-  const auto call = callOf(attempt);
+  const auto call = findCall(attempt);
   if (!call) {
     return finish(now);
   }
   const Attempt& answered = *(*call)->second.attempt;
   if (!notice.empty() || replicas_.limits().isLimited(answered.replica)) {
-    takeNotice(answered.replica, notice, answered.sent, now);
+    applyNotice(answered.replica, notice, answered.sent, now);
   }
   return finish(now);
 }
 
 Effects CallRouter::onNotice(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now) {
-  takeNotice(replica, notice, std::nullopt, now);
+  applyNotice(replica, notice, std::nullopt, now);
   return finish(now);
 }
 
-void CallRouter::takeNotice(const ReplicaId& replica, const ReplicaNotice& notice,
-                            std::optional<TimePoint> sent, TimePoint now) {
+void CallRouter::applyNotice(const ReplicaId& replica, const ReplicaNotice& notice,
+                             std::optional<TimePoint> sent, TimePoint now) {
   const ReplicaNotices::Change change = replicas_.notices().accept(replica, notice, now);
   if (change == ReplicaNotices::Change::Leaving) {
     ++counts_.leaving_told;
@@ -157,18 +157,18 @@
                 {"closed_for_ms", toMilliseconds(*closed_until - now)},
                 {"waiting", static_cast<std::int64_t>(waiting_.size())}});
   }
-  takeLimit(replica, notice, sent, now);
-  noteUnread(replica, notice, now);
+  applyLimit(replica, notice, sent, now);
+  logUnreadableHeaders(replica, notice, now);
 }
 
-void CallRouter::takeLimit(const ReplicaId& replica, const ReplicaNotice& notice,
-                           std::optional<TimePoint> sent, TimePoint now) {
+void CallRouter::applyLimit(const ReplicaId& replica, const ReplicaNotice& notice,
+                            std::optional<TimePoint> sent, TimePoint now) {
   ReplicaLimits& limits = replicas_.limits();
   ReplicaLimits::Change change = ReplicaLimits::Change::None;
   if (notice.calls_per_second) {
-    change = limits.name(replica, *notice.calls_per_second, sent, now);
+    change = limits.recordLimit(replica, *notice.calls_per_second, sent, now);
   } else if (notice.names_no_limit && sent) {
-    change = limits.end(replica, *sent);
+    change = limits.recordNoLimit(replica, *sent);
   }
   if (change == ReplicaLimits::Change::Ended) {
     log_.write(LogLevel::Info, "replica.limit_ended", {{"replica", view(replica.value)}});
@@ -177,18 +177,18 @@
     log_.write(LogLevel::Info, "replica.limit",
                {{"replica", view(replica.value)},
                 {"calls_per_second", *limits.limitOf(replica)},
-                {"first", change == ReplicaLimits::Change::Named}});
+                {"first", change == ReplicaLimits::Change::Added}});
   }
 }
 
-void CallRouter::noteUnread(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now) {
+void CallRouter::logUnreadableHeaders(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now) {
   counts_.unknown_notices += notice.unknown_header.empty() ? 0 : 1;
   const bool unread =
       !notice.unread_retry_after.empty() || !notice.unread_limit.empty() || !notice.unknown_header.empty();
-  if (!unread || now < next_unread_note_) {
+  if (!unread || now < next_unreadable_log_) {
     return;
   }
-  next_unread_note_ = now + kUnreadNoteInterval;
+  next_unreadable_log_ = now + kUnreadableLogInterval;
   log_.write(LogLevel::Warning, "replica.notice_unread",
              {{"replica", view(replica.value)},
               {"retry_after", view(notice.unread_retry_after)},
@@ -198,21 +198,21 @@
 
 Effects CallRouter::onStreamEvent(AttemptNumber attempt, std::optional<std::uint64_t> id, std::string bytes,
                                   TimePoint now) {
-  const auto call = callOf(attempt);
+  const auto call = findCall(attempt);
   if (!call) {
     return finish(now);
   }
   Call& state = (*call)->second;
   if (Replica* replica = replicas_.find(state.attempt->replica)) {
-    dispatch_wanted_ = ReplicaTable::onProgress(*replica, now) || dispatch_wanted_;
+    dispatch_pending_ = ReplicaTable::onProgress(*replica, now) || dispatch_pending_;
   }
-  notePromptRead(*state.attempt);
-  noteTaken(*state.attempt);
+  onPromptPrefilled(*state.attempt);
+  onAttemptAccepted(*state.attempt);
   const bool known = id && state.last_event && *id <= *state.last_event;
   if (!known) {
     state.last_event = id ? id : state.last_event;
     startStream(*call, attempt, now);
-    notePause(state, now);
+    recordGap(state, now);
     effects_.emplace_back(PassEventEffect{(*call)->first, std::move(bytes)});
   }
   return finish(now);
@@ -220,22 +220,23 @@
 
 /// Records the gap since the previous event. The first event is read together with the headers, so it
 /// provides no gap.
-void CallRouter::notePause(Call& call, TimePoint now) {
-  const Duration pause = now - std::exchange(call.last_event_at, now);
-  call.longest_pause = std::max(call.longest_pause, pause);
+void CallRouter::recordGap(Call& call, TimePoint now) {
+  const Duration gap = now - std::exchange(call.last_event_at, now);
+  call.longest_gap = std::max(call.longest_gap, gap);
   Attempt& attempt = *call.attempt;
   Replica* replica = replicas_.find(attempt.replica);
   if (replica == nullptr || call.need.model.empty()) {
     return;
   }
-  if (pause > Duration::zero()) {
-    replica->notePause(call.need.model, pause);
+  if (gap > Duration::zero()) {
+    replica->recordGap(call.need.model, gap);
   }
-  if (attempt.paced_since == TimePoint{}) {
-    attempt.paced_since = now;
-  } else if (++attempt.paced_events == kPacedEvents) {
-    replica->noteMeanPause(call.need.model, (now - std::exchange(attempt.paced_since, now)) / kPacedEvents);
-    attempt.paced_events = 0;
+  if (attempt.measured_since == TimePoint{}) {
+    attempt.measured_since = now;
+  } else if (++attempt.measured_events == kGapsPerMean) {
+    replica->recordMeanGap(call.need.model,
+                           (now - std::exchange(attempt.measured_since, now)) / kGapsPerMean);
+    attempt.measured_events = 0;
   }
 }
 
@@ -253,42 +254,42 @@
 }
 
 Effects CallRouter::onStreamEnd(AttemptNumber attempt, TimePoint now) {
-  const auto call = callOf(attempt);
+  const auto call = findCall(attempt);
   if (!call) {
     return finish(now);
   }
   Call& state = (*call)->second;
   startStream(*call, attempt, now);
-  noteTaken(*state.attempt);
+  onAttemptAccepted(*state.attempt);
   if (Replica* replica = release(state)) {
     replica->health.onSuccess(now);
   }
-  noteRun(state, now);
-  noteStreamTime(state, now);
+  recordCompletedRun(state, now);
+  recordStreamDuration(state, now);
   ++counts_.answered;
   log_.write(LogLevel::Info, "call.stream_finished",
              {{"request", view(state.request.id.value)},
               {"took_ms", toMilliseconds(now - state.arrived)},
-              {"longest_pause_ms", toMilliseconds(state.longest_pause)},
+              {"longest_pause_ms", toMilliseconds(state.longest_gap)},
               {"attempts", static_cast<std::int64_t>(state.attempts)}});
   effects_.emplace_back(FinishStreamEffect{(*call)->first});
   erase(*call);
   return finish(now);
 }
 
-void CallRouter::noteStreamTime(const Call& call, TimePoint now) {
+void CallRouter::recordStreamDuration(const Call& call, TimePoint now) {
   // Weight of 1/16 for the new value in the moving average.
   constexpr int kWeight = 16;
   const Duration took = now - call.arrived;
-  const auto [mean, fresh] = stream_times_.try_emplace(call.route->name, took);
-  if (!fresh) {
+  const auto [mean, inserted] = stream_durations_.try_emplace(call.route->name, took);
+  if (!inserted) {
     mean->second += (took - mean->second) / kWeight;
   }
 }
 
 Effects CallRouter::onFailure(AttemptNumber attempt, AttemptFailure failure, const std::string& reason,
                               TimePoint now) {
-  const auto call = callOf(attempt);
+  const auto call = findCall(attempt);
   if (!call) {
     return finish(now);
   }
@@ -316,19 +317,19 @@
         unreachable ? router::HealthFailure::Unreachable : router::HealthFailure::Failed, now, random_);
   }
   if (unreachable) {
-    constexpr bool kCounts = false;
-    retryUnrun(*call, ResultCode::NoReplica, kCounts, now);
+    constexpr bool kSpendsBudget = false;
+    retryNotRun(*call, ResultCode::NoReplica, kSpendsBudget, now);
   } else {
-    noteMayHaveRun(state);
-    state.failure = reason;
+    recordPossibleRun(state);
+    state.failure_reason = reason;
     state.last_failure = ResultCode::ReplicaFailed;
     if (!address.empty()) {
       probe(state, replica_id, address);
     }
-    if (state.awaits_probe) {
+    if (state.probed_replica) {
       setTimer(*call);
     } else {
-      retryMaybeRun(*call, ResultCode::ReplicaFailed, reason, now);
+      retryPossiblyRun(*call, ResultCode::ReplicaFailed, reason, now);
     }
   }
   return finish(now);
@@ -337,20 +338,20 @@
 /// The last attempt certainly didn't run, so the call may be sent to another replica whatever its kind. An
 /// attempt that reached no replica puts no load on the service, so it isn't charged to the retry budget; it
 /// is limited only by ejections and the call's deadline.
-void CallRouter::retryUnrun(CallPointer call, ResultCode reason, bool counts, TimePoint now) {
+void CallRouter::retryNotRun(CallPointer call, ResultCode reason, bool spends_budget, TimePoint now) {
   Call& state = call->second;
   --state.attempts;
-  state.unrun += counts ? 1 : 0;
+  state.refusals += spends_budget ? 1 : 0;
   state.last_failure = reason;
-  const bool tries_left = state.unrun < kMostUnrun && state.deadline - now > kLeastTimeLeft;
-  if (tries_left && (!counts || budget_.spend(state.need.service, now))) {
+  const bool tries_left = state.refusals < kMaxRefusals && state.deadline - now > kMinTimeLeft;
+  if (tries_left && (!spends_budget || budget_.spend(state.need.service, now))) {
     ++counts_.retries;
     dispatch(call, now);
   } else if (state.started) {
     breakStream(call, "no replica accepted the rest of the stream", now);
   } else {
     refuse(call, tries_left ? ResultCode::RetryBudgetSpent : reason,
-           "replicas refused the call before running it", comeBackAfterRefusals(state, now), now);
+           "replicas refused the call before running it", retryTimeAfterRefusals(state, now), now);
   }
 }
 
@@ -361,15 +362,15 @@
 
 /// Attempts whose replica crashed aren't counted, so that a call which lost several replicas to crashes
 /// caused by other calls may be retried.
-bool CallRouter::mayRunAgain(const Call& call) {
-  return isRepeatable(call) && call.attempts - call.ended < call.route->max_attempts;
+bool CallRouter::mayRetry(const Call& call) {
+  return isRepeatable(call) && call.attempts - call.crashed_attempts < call.route->max_attempts;
 }
 
-void CallRouter::retryMaybeRun(CallPointer call, ResultCode reason, const std::string& detail,
-                               TimePoint now) {
+void CallRouter::retryPossiblyRun(CallPointer call, ResultCode reason, const std::string& detail,
+                                  TimePoint now) {
   Call& state = call->second;
   const bool again =
-      mayRunAgain(state) && state.deadline - now > kLeastTimeLeft && budget_.spend(state.need.service, now);
+      mayRetry(state) && state.deadline - now > kMinTimeLeft && budget_.spend(state.need.service, now);
   if (again) {
     ++counts_.retries;
     counts_.resumed += state.started ? 1 : 0;
--- a/src/calls/call_router_control.cc
+++ b/src/calls/call_router_control.cc
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 /// Minimum interval between two log lines about the replica table.
-constexpr Duration kTableNoteInterval = 1s;
+constexpr Duration kTableLogInterval = 1s;
 
 std::string_view view(const std::string& text) {
   return text;
@@ -26,29 +26,29 @@
   } else if (const auto* list = std::get_if<wire::MemberList>(&envelope.message)) {
     feed_.accept(envelope.from, *list);
   } else if (const auto* late = std::get_if<wire::CatalogUpdate>(&envelope.message)) {
-    feed_.noteAnswer(envelope.from);
-    takeCatalog(envelope.from, late->catalog, feed_.leaderHeard(), now);
+    feed_.recordAnswer(envelope.from);
+    applyCatalog(envelope.from, late->catalog, feed_.leaderHeard(), now);
   } else if (const auto* answer = std::get_if<wire::QuotaAnswer>(&envelope.message)) {
-    feed_.noteAnswer(envelope.from);
+    feed_.recordAnswer(envelope.from);
     resolveQuotas(quota_.accept(*answer, now), now);
   } else if (const auto* reply = std::get_if<wire::LimitReply>(&envelope.message)) {
-    feed_.noteAnswer(envelope.from);
+    feed_.recordAnswer(envelope.from);
     resolveCredits(replicas_.limits().accept(*reply, now), now);
   } else if (const auto* records = std::get_if<wire::CrashRecords>(&envelope.message)) {
-    feed_.noteAnswer(envelope.from);
-    takeCrashRecords(envelope.from, *records, now);
+    feed_.recordAnswer(envelope.from);
+    applyCrashRecords(envelope.from, *records, now);
   }
   return finish(now);
 }
 
-void CallRouter::takeCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
-                             std::optional<TimePoint> leader_heard, TimePoint now) {
+void CallRouter::applyCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
+                              std::optional<TimePoint> leader_heard, TimePoint now) {
   if (catalog.version <= catalogVersion()) {
     return;
   }
   routes_ = std::make_shared<const RouteTable>(catalog);
-  feed_.tellAll();
-  routeWaiting(now);
+  feed_.notifyAll();
+  routeUnroutedCalls(now);
   log_.write(LogLevel::Info, "catalog.in_force",
              {{"version", static_cast<std::int64_t>(routes_->version().value)},
               {"routes", static_cast<std::int64_t>(catalog.routes.size())},
@@ -58,7 +58,7 @@
 
 void CallRouter::applyUpdate(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now) {
   const NodeName leader = feed_.leader();
-  const std::optional<TimePoint> heard = feed_.leaderHeard();
+  const std::optional<TimePoint> previous_contact = feed_.leaderHeard();
   const bool replicas_follow = feed_.accept(from, update, now);
   if (feed_.leader() != leader) {
     log_.write(LogLevel::Info, "control.leader",
@@ -68,14 +68,14 @@
   quota_.onUpdate(from, update, now);
   replicas_.limits().onLeader(update.grants_limits, update.routers, now);
   if (update.catalog) {
-    takeCatalog(from, *update.catalog, heard, now);
+    applyCatalog(from, *update.catalog, previous_contact, now);
   }
   const bool proved = feed_.proof().holds(now);
   feed_.confirm(update, catalogVersion());
   if (!proved && feed_.proof().holds(now)) {
     log_.write(LogLevel::Info, "catalog.proved",
                {{"version", static_cast<std::int64_t>(catalogVersion().value)}, {"by", view(from.value)}});
-    routeWaiting(now);
+    routeUnroutedCalls(now);
   }
   budget_.setRouters(update.routers);
   replicas_.setRouters(update.routers);
@@ -83,14 +83,14 @@
   if (update.loads) {
     replicas_.acceptLoads(*update.loads, now);
   }
-  dispatch_wanted_ = dispatch_wanted_ || !update.coming.empty();
+  dispatch_pending_ = dispatch_pending_ || !update.coming.empty();
   if (!replicas_follow) {
     return;
   }
-  noteTable(update, now);
-  replicas_.listPart(feed_.holdsPart());
+  logTableChanges(update, now);
+  replicas_.setSubscribed(feed_.holdsSubscribedTable());
   replicas_.apply(update, now);
-  dispatch_wanted_ = dispatch_wanted_ || !update.replicas.empty() || !update.removed.empty();
+  dispatch_pending_ = dispatch_pending_ || !update.replicas.empty() || !update.removed.empty();
 }
 
 std::vector<std::string> CallRouter::directory() const {
@@ -103,7 +103,7 @@
 
 /// Logs each replica that is draining or removed. Other changes of the table, thousands of entries a minute
 /// in a large fleet, are only counted.
-void CallRouter::noteTable(const wire::ServiceUpdate& update, TimePoint now) {
+void CallRouter::logTableChanges(const wire::ServiceUpdate& update, TimePoint now) {
   for (const wire::RoutedReplica& replica : update.replicas) {
     const Replica* known = replicas_.find(replica.id);
     if (!replica.accepting && (known == nullptr || known->routed.accepting)) {
@@ -117,13 +117,13 @@
     log_.write(LogLevel::Info, "replica.gone", {{"replica", view(id.value)}});
   }
   table_changes_ += update.replicas.size();
-  if (table_changes_ > 0 && now >= next_table_note_) {
+  if (table_changes_ > 0 && now >= next_table_log_) {
     log_.write(LogLevel::Info, "replica.table",
                {{"changed", static_cast<std::int64_t>(table_changes_)},
                 {"known", static_cast<std::int64_t>(replicas_.size())},
                 {"revision", static_cast<std::int64_t>(update.revision.value)}});
     table_changes_ = 0;
-    next_table_note_ = now + kTableNoteInterval;
+    next_table_log_ = now + kTableLogInterval;
   }
 }
 
@@ -148,7 +148,7 @@
       ++want.waiting;
     }
   }
-  for (const auto& [key, callers] : loads_.expectedBack(now)) {
+  for (const auto& [key, callers] : loads_.returningCallers(now)) {
     const auto& [service, model] = key;
     wire::ModelWant& want = entry(std::make_tuple(service, model, std::string()));
     ReplicaNeed need;
@@ -168,20 +168,20 @@
   if (!feed_.due(now)) {
     return;
   }
-  for (NodeName& member : feed_.unansweringMembers(now)) {
+  for (NodeName& member : feed_.unresponsiveMembers(now)) {
     log_.write(LogLevel::Info, "control.reconnect", {{"member", view(member.value)}});
     effects_.emplace_back(RenewConnectionEffect{std::move(member)});
   }
   const NodeName leader = feed_.leader();
-  RouterNews news{wants(now),
-                  replicas_.unreachable(now),
-                  ready(),
-                  catalogVersion(),
-                  crashes_.digest(),
-                  replicas_.takeUses(),
-                  replicas_.takePaces(),
-                  interests_.list(now)};
-  for (wire::SendEffect& send : feed_.statuses(std::move(news), now)) {
+  RouterState state{wants(now),
+                    replicas_.unreachable(now),
+                    ready(),
+                    catalogVersion(),
+                    crashes_.digest(),
+                    replicas_.takeLocalLoads(),
+                    replicas_.takeEventGaps(),
+                    interests_.list(now)};
+  for (wire::SendEffect& send : feed_.statuses(std::move(state), now)) {
     effects_.emplace_back(std::move(send));
   }
   if (!leader.empty() && feed_.leader().empty()) {
--- a/src/calls/call_router_crashes.cc
+++ b/src/calls/call_router_crashes.cc
@@ -15,7 +15,7 @@
 /// Time from a call's second crash until all routers know of it and of the other suspected calls. Propagation
 /// from router to member to router takes 2 to 6 ms on the network, and as much again in processes that get a
 /// tenth of a core; the rest allows for one further delay.
-constexpr Duration kTrialSpread = std::chrono::milliseconds(50);
+constexpr Duration kTrialPropagationTime = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -24,63 +24,63 @@
 /// them. A call that may be retried waits for the result, usually for a few milliseconds: retried at once, it
 /// could crash the next replica among as many other calls before any router knows of the first crash.
 void CallRouter::probe(Call& call, const ReplicaId& replica, const std::string& address) {
-  std::vector<ProbedCall>& calls = probes_[replica];
+  std::vector<ProbedCall>& calls = pending_probes_[replica];
   if (calls.empty()) {
     effects_.emplace_back(ProbeReplicaEffect{replica, address});
   }
   calls.push_back({call.request.number, call.request.fingerprint});
   if (isRepeatable(call)) {
-    call.awaits_probe = replica;
+    call.probed_replica = replica;
   }
 }
 
 Effects CallRouter::onProbed(const ReplicaId& replica, ProbeOutcome outcome, TimePoint now) {
-  const auto probed = probes_.find(replica);
-  if (probed == probes_.end()) {
+  const auto probed = pending_probes_.find(replica);
+  if (probed == pending_probes_.end()) {
     return finish(now);
   }
   const std::vector<ProbedCall> calls = std::move(probed->second);
-  probes_.erase(probed);
+  pending_probes_.erase(probed);
   if (outcome == ProbeOutcome::Ended) {
-    noteReplicaEnd(replica, calls, now);
+    recordReplicaCrash(replica, calls, now);
   }
   for (const ProbedCall& probed_call : calls) {
     const CallPointer call = calls_.find(probed_call.number);
-    if (call != calls_.end() && call->second.awaits_probe == replica) {
-      call->second.awaits_probe.reset();
-      const std::string reason = call->second.failure;
-      retryMaybeRun(call, ResultCode::ReplicaFailed, reason, now);
+    if (call != calls_.end() && call->second.probed_replica == replica) {
+      call->second.probed_replica.reset();
+      const std::string reason = call->second.failure_reason;
+      retryPossiblyRun(call, ResultCode::ReplicaFailed, reason, now);
     }
   }
   return finish(now);
 }
 
-void CallRouter::noteReplicaEnd(const ReplicaId& replica, const std::vector<ProbedCall>& calls,
-                                TimePoint now) {
+void CallRouter::recordReplicaCrash(const ReplicaId& replica, const std::vector<ProbedCall>& calls,
+                                    TimePoint now) {
   ++counts_.replica_ends;
-  std::vector<wire::CrashRecord> news;
+  std::vector<wire::CrashRecord> new_records;
   for (const auto& [number, fingerprint] : calls) {
     const CallPointer call = calls_.find(number);
     if (call != calls_.end()) {
-      ++call->second.ended;
+      ++call->second.crashed_attempts;
     }
     if (!crashes_.noteEnd(fingerprint, replica, now)) {
       continue;
     }
-    news.push_back(crashes_.record(fingerprint, now));
+    new_records.push_back(crashes_.record(fingerprint, now));
     log_.write(LogLevel::Warning, "crash.replica_ended",
                {{"fingerprint", quarantine::toText(fingerprint)},
                 {"replica", std::string_view(replica.value)},
                 {"calls_there", static_cast<std::int64_t>(calls.size())},
                 {"ends", static_cast<std::int64_t>(crashes_.ends(fingerprint))}});
   }
-  for (const wire::CrashRecord& record : news) {
+  for (const wire::CrashRecord& record : new_records) {
     enforceQuarantine(record.call, now);
   }
-  tellMembers(news);
+  sendCrashRecords(new_records);
 }
 
-void CallRouter::noteRun(const Call& call, TimePoint now) {
+void CallRouter::recordCompletedRun(const Call& call, TimePoint now) {
   const wire::CallFingerprint& fingerprint = call.request.fingerprint;
   if (!crashes_.noteAnswer(fingerprint)) {
     return;
@@ -88,10 +88,10 @@
   log_.write(LogLevel::Info, "crash.refuted",
              {{"fingerprint", quarantine::toText(fingerprint)},
               {"request", std::string_view(call.request.id.value)}});
-  tellMembers({crashes_.record(fingerprint, now)});
+  sendCrashRecords({crashes_.record(fingerprint, now)});
 }
 
-void CallRouter::takeCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now) {
+void CallRouter::applyCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now) {
   for (const wire::CrashRecord& record : records.records) {
     const Standing before = crashes_.standing(record.call);
     if (!crashes_.merge(record, now)) {
@@ -121,13 +121,13 @@
     return false;
   }
   state.need.trial = quarantine::Trial{fingerprint, crashes_.onTrial()};
-  const TimePoint from = now - crashes_.age(fingerprint, now) + kTrialSpread;
+  const TimePoint from = now - crashes_.age(fingerprint, now) + kTrialPropagationTime;
   if (now >= from || replicas_.routers() <= 1) {
     return false;
   }
   waiting_.insert(call->first);
-  state.retry = from;
-  state.waits_until = std::max(state.waits_until, from + kTrialSpread);
+  state.retry_at = from;
+  state.wait_deadline = std::max(state.wait_deadline, from + kTrialPropagationTime);
   setTimer(call);
   log_.write(LogLevel::Info, "call.awaits_trial",
              {{"request", std::string_view(state.request.id.value)},
@@ -153,7 +153,7 @@
     const CallPointer call = calls_.find(number);
     if (call->second.attempt) {
       effects_.emplace_back(CancelAttemptEffect{call->second.attempt->number});
-      noteMayHaveRun(call->second);
+      recordPossibleRun(call->second);
       release(call->second);
     }
     refuseQuarantined(call, now);
@@ -175,7 +175,7 @@
 
 /// Sends the records to all members: any of them may become leader, and the leader forwards them to the other
 /// routers.
-void CallRouter::tellMembers(const std::vector<wire::CrashRecord>& records) {
+void CallRouter::sendCrashRecords(const std::vector<wire::CrashRecord>& records) {
   if (records.empty()) {
     return;
   }
--- a/src/calls/call_router_limits.cc
+++ b/src/calls/call_router_limits.cc
@@ -9,7 +9,7 @@
 
 /// Number of replicas that credit is requested for on behalf of one call, one after the other, before none is
 /// considered to have capacity.
-constexpr std::size_t kMostAsked = 3;
+constexpr std::size_t kMaxCreditRequests = 3;
 
 std::string_view view(const std::string& text) {
   return text;
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-void CallRouter::useCredit(Call& call, TimePoint now) {
+void CallRouter::selectCredit(Call& call, TimePoint now) {
   call.need.credit.reset();
   std::optional<LimitCredit>& granted = call.credit.granted;
-  if (granted && now >= granted->from + ReplicaLimits::kCreditLasts) {
+  if (granted && now >= granted->valid_from + ReplicaLimits::kCreditTtl) {
     granted.reset();
   }
-  if (granted && now >= granted->from) {
+  if (granted && now >= granted->valid_from) {
     call.need.credit = granted->replica;
   }
   if (call.credit.opens_at && now >= *call.credit.opens_at) {
@@ -33,7 +33,7 @@
 }
 
 /// Requests credit for the replica with the highest rate limit first.
-void CallRouter::seekCredit(CallPointer call, const Choice& choice, TimePoint now) {
+void CallRouter::obtainCredit(CallPointer call, const Choice& choice, TimePoint now) {
   Call& state = call->second;
   // The replica that the credit is for can't be used now for another reason.
   if (state.need.credit) {
@@ -41,7 +41,8 @@
     state.credit.granted.reset();
     state.need.credit.reset();
   }
-  if (state.credit.ask || state.credit.granted || state.credit.refused.size() >= kMostAsked) {
+  if (state.credit.pending_request || state.credit.granted ||
+      state.credit.refused.size() >= kMaxCreditRequests) {
     return;
   }
   ReplicaLimits& limits = replicas_.limits();
@@ -54,14 +55,14 @@
     return;
   }
   const Duration wait = waitLimit(waitingCall(state), ChoiceFailure::Limited, now) - now;
-  state.credit.ask = limits.ask(*best, wait, now);
-  state.credit.asked = *best;
-  if (state.credit.ask) {
-    limit_asks_[*state.credit.ask] = call->first;
+  state.credit.pending_request = limits.requestCredit(*best, wait, now);
+  state.credit.requested_from = *best;
+  if (state.credit.pending_request) {
+    credit_requests_[*state.credit.pending_request] = call->first;
   }
 }
 
-void CallRouter::spendCredit(Call& call, Attempt& attempt, TimePoint now) {
+void CallRouter::consumeCredit(Call& call, Attempt& attempt, TimePoint now) {
   attempt.with_credit = call.need.credit == attempt.replica;
   if (attempt.with_credit) {
     call.credit.granted.reset();
@@ -69,13 +70,13 @@
   } else {
     replicas_.limits().onSent(attempt.replica, now);
   }
-  dropCredit(call);
+  releaseCredit(call);
 }
 
-void CallRouter::dropCredit(Call& call) {
-  if (call.credit.ask) {
-    replicas_.limits().abandon(*call.credit.ask);
-    limit_asks_.erase(*call.credit.ask);
+void CallRouter::releaseCredit(Call& call) {
+  if (call.credit.pending_request) {
+    replicas_.limits().abandon(*call.credit.pending_request);
+    credit_requests_.erase(*call.credit.pending_request);
   }
   if (call.credit.granted) {
     replicas_.limits().giveBack(call.credit.granted->replica);
@@ -85,12 +86,12 @@
 
 void CallRouter::resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now) {
   for (const LimitResolved& one : resolved) {
-    const auto asking = limit_asks_.find(one.ask);
-    if (asking == limit_asks_.end()) {
+    const auto requester = credit_requests_.find(one.request_number);
+    if (requester == credit_requests_.end()) {
       continue;
     }
-    const CallPointer call = calls_.find(asking->second);
-    limit_asks_.erase(asking);
+    const CallPointer call = calls_.find(requester->second);
+    credit_requests_.erase(requester);
     if (call != calls_.end()) {
       resolveCredit(call, one, now);
     }
@@ -99,17 +100,18 @@
 
 void CallRouter::resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now) {
   CreditSearch& credit = call->second.credit;
-  credit.ask.reset();
+  credit.pending_request.reset();
   if (resolved.verdict == LimitResolved::Verdict::Granted) {
-    credit.granted = LimitCredit{credit.asked, resolved.at};
-    call->second.waits_until = std::max(call->second.waits_until, resolved.at + ReplicaLimits::kCreditLasts);
+    credit.granted = LimitCredit{credit.requested_from, resolved.at};
+    call->second.wait_deadline =
+        std::max(call->second.wait_deadline, resolved.at + ReplicaLimits::kCreditTtl);
   } else if (resolved.verdict == LimitResolved::Verdict::Refused) {
-    credit.refused.insert(credit.asked);
+    credit.refused.insert(credit.requested_from);
     credit.opens_at = std::min(credit.opens_at.value_or(resolved.at), resolved.at);
   }
   log_.write(LogLevel::Info, "call.credit",
              {{"request", view(call->second.request.id.value)},
-              {"replica", view(credit.asked.value)},
+              {"replica", view(credit.requested_from.value)},
               {"granted", resolved.verdict == LimitResolved::Verdict::Granted},
               {"answered", resolved.verdict != LimitResolved::Verdict::Unanswered},
               {"in_ms", toMilliseconds(resolved.at - now)},
@@ -119,7 +121,7 @@
   }
 }
 
-void CallRouter::tellLimits(TimePoint now) {
+void CallRouter::sendLimitRequest(TimePoint now) {
   const NodeName& leader = feed_.leader();
   if (leader.empty()) {
     return;
--- a/src/calls/call_router_tenants.cc
+++ b/src/calls/call_router_tenants.cc
@@ -12,7 +12,7 @@
 using tenancy::QuotaVerdict;
 
 /// Time within which a cell without a leader usually elects one.
-constexpr Duration kComeBackUnproved = 1s;
+constexpr Duration kRetryAfterElection = 1s;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   // A catalog that may be outdated can neither accept nor reject a key: a newer one may have removed or added
   // it.
   if (!feed_.proof().holds(now)) {
-    refuseUnproved(call, now);
+    refuseUnprovenCatalog(call, now);
     return false;
   }
   tenant = credential.form == Credential::Form::Key ? routes_->keys().find(credential.key) : nullptr;
@@ -42,7 +42,7 @@
 
 /// A router that has just started receives its first proof within a short time, so the call waits. A router
 /// whose proof has expired is cut off from control.
-void CallRouter::refuseUnproved(CallPointer call, TimePoint now) {
+void CallRouter::refuseUnprovenCatalog(CallPointer call, TimePoint now) {
   Call& state = call->second;
   if (!feed_.proof().provedAt() && state.route == nullptr) {
     state.last_failure = ResultCode::CatalogUnproved;
@@ -52,13 +52,13 @@
   }
   ++counts_.unproved;
   refuse(call, ResultCode::CatalogUnproved, "the control cell has been unreachable for too long",
-         kComeBackUnproved, now);
+         kRetryAfterElection, now);
 }
 
-bool CallRouter::mayStillRun(CallPointer call, TimePoint now) {
+bool CallRouter::revalidateTenant(CallPointer call, TimePoint now) {
   const Call& state = call->second;
   if (!feed_.proof().holds(now)) {
-    refuseUnproved(call, now);
+    refuseUnprovenCatalog(call, now);
     return false;
   }
   if (state.routes == routes_) {
@@ -126,14 +126,14 @@
   }
 }
 
-void CallRouter::noteMayHaveRun(Call& call) {
+void CallRouter::recordPossibleRun(Call& call) {
   call.may_have_run = true;
-  call.charge_ran = true;
+  call.charged_attempt_may_have_run = true;
 }
 
 /// The leader isn't asked for this credit: the call was granted its run already, and its caller is waiting.
-void CallRouter::chargeAnotherRun(Call& call, TimePoint now) {
-  if (call.charged > 0 && std::exchange(call.charge_ran, false)) {
+void CallRouter::chargeRetry(Call& call, TimePoint now) {
+  if (call.charged > 0 && std::exchange(call.charged_attempt_may_have_run, false)) {
     quota_.chargeAgain(*call.tenant, call.charged, now);
   }
 }
@@ -150,7 +150,7 @@
   }
 }
 
-void CallRouter::tellQuotaUse(TimePoint now) {
+void CallRouter::sendQuotaUse(TimePoint now) {
   if (auto use = quota_.message(feed_.leader(), now)) {
     effects_.emplace_back(wire::SendEffect{feed_.leader(), std::move(*use)});
   }
--- a/src/calls/control_feed.cc
+++ b/src/calls/control_feed.cc
@@ -6,16 +6,16 @@
 namespace {
 
 /// Minimum interval between statuses, also for expedited ones.
-constexpr Duration kLeastDistance = std::chrono::milliseconds(10);
+constexpr Duration kMinStatusInterval = std::chrono::milliseconds(10);
 /// A proof that expires within this time is requested from the leader explicitly; regular updates renew it
 /// twice a second.
-constexpr Duration kProofInHand = std::chrono::milliseconds(3000);
+constexpr Duration kProofRenewalMargin = std::chrono::milliseconds(3000);
 constexpr unsigned kTermShift = 40;
 
 /// While no leader is known, members are queried this many times as often as they requested.
-constexpr int kAskedAtOnce = 8;
+constexpr int kSearchRateFactor = 8;
 /// The leader is considered lost after half this many status intervals without contact.
-constexpr int kSilentIntervals = 5;
+constexpr int kLeaderTimeoutHalfIntervals = 5;
 
 bool sameTerm(LogIndex left, LogIndex right) {
   return left.value >> kTermShift == right.value >> kTermShift;
@@ -24,60 +24,60 @@
 }  // namespace
 
 bool ControlFeed::accept(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now) {
-  noteAnswer(from);
+  recordAnswer(from);
   if (update.revision < revision_) {
     return false;  // from a replaced leader, or delivered out of order
   }
   leader_ = from;
-  named_leader_ = from;
+  suggested_leader_ = from;
   leader_heard_ = now;
-  answered_ = true;
-  leader_asked_interval_ = std::chrono::milliseconds(update.status_interval_ms);
+  member_answered_ = true;
+  leader_requested_interval_ = std::chrono::milliseconds(update.status_interval_ms);
   addMembers(update.members);
   directory_ = update.directory.value_or(directory_);
-  const bool taken = update.table == 0 ? acceptTable(update) : acceptPart(update);
-  missed_update_ = !taken;
-  hurried_ = hurried_ || !taken || update.confirm;
-  if (taken) {
+  const bool accepted = update.table == 0 ? acceptFullTable(update) : acceptSubscribedTable(update);
+  missed_update_ = !accepted;
+  expedited_ = expedited_ || !accepted || update.confirm;
+  if (accepted) {
     revision_ = update.revision;
     table_ = update.table;
   }
-  return taken;
+  return accepted;
 }
 
 /// Accepts changes of the table of all replicas, or the full table.
-bool ControlFeed::acceptTable(const wire::ServiceUpdate& update) {
-  const bool whole = update.base == LogIndex{};
+bool ControlFeed::acceptFullTable(const wire::ServiceUpdate& update) {
+  const bool full = update.base == LogIndex{};
   const bool follows = table_ == 0 && sameTerm(update.base, revision_) && update.base <= revision_;
-  return whole || follows;
+  return full || follows;
 }
 
 /// Accepts a subscribed table if it is listed in full, or if its content digest matches the current table.
 /// The match also holds for updates of a leader that didn't send the table itself.
-bool ControlFeed::acceptPart(const wire::ServiceUpdate& update) {
-  const bool whole = update.base == LogIndex{};
-  return whole || update.table == table_;
+bool ControlFeed::acceptSubscribedTable(const wire::ServiceUpdate& update) {
+  const bool full = update.base == LogIndex{};
+  return full || update.table == table_;
 }
 
 void ControlFeed::accept(const NodeName& from, const wire::MemberList& list) {
-  noteAnswer(from);
-  answered_ = true;
+  recordAnswer(from);
+  member_answered_ = true;
   addMembers(list.nodes);
   if (list.status_interval_ms > 0) {
-    asked_interval_[from] = std::chrono::milliseconds(list.status_interval_ms);
+    requested_intervals_[from] = std::chrono::milliseconds(list.status_interval_ms);
   } else {
-    asked_interval_.erase(from);
+    requested_intervals_.erase(from);
   }
-  if (leader_.empty() && !list.leader.empty() && list.leader != named_leader_) {
-    named_leader_ = list.leader;
-    hurried_ = true;
+  if (leader_.empty() && !list.leader.empty() && list.leader != suggested_leader_) {
+    suggested_leader_ = list.leader;
+    expedited_ = true;
   }
 }
 
 /// Where members requested longer intervals, the leader passes the required information on to them.
-void ControlFeed::tellAll() {
-  tell_all_ = asked_interval_.empty();
-  hurried_ = true;
+void ControlFeed::notifyAll() {
+  notify_all_ = requested_intervals_.empty();
+  expedited_ = true;
 }
 
 void ControlFeed::addMembers(const std::vector<NodeName>& members) {
@@ -85,34 +85,36 @@
 }
 
 Duration ControlFeed::leaderInterval() const {
-  if (!answered_) {
-    return settings_.first_interval;
+  if (!member_answered_) {
+    return settings_.initial_interval;
   }
-  return std::max(settings_.leader_interval, leader_asked_interval_);
+  return std::max(settings_.leader_interval, leader_requested_interval_);
 }
 
 /// Interval while no leader is known. Members that request long intervals have many routers that query them.
-Duration ControlFeed::askInterval() const {
+Duration ControlFeed::searchInterval() const {
   Duration longest = Duration::zero();
-  for (const auto& [member, interval] : asked_interval_) {
+  for (const auto& [member, interval] : requested_intervals_) {
     longest = std::max(longest, interval);
   }
-  return answered_ ? std::max(settings_.leader_interval, longest / kAskedAtOnce) : settings_.first_interval;
+  return member_answered_ ? std::max(settings_.leader_interval, longest / kSearchRateFactor)
+                          : settings_.initial_interval;
 }
 
 Duration ControlFeed::memberInterval(const NodeName& member) const {
-  const auto asked = asked_interval_.find(member);
-  return asked == asked_interval_.end() ? settings_.member_interval
-                                        : std::max(settings_.member_interval, asked->second);
+  const auto requested = requested_intervals_.find(member);
+  return requested == requested_intervals_.end() ? settings_.member_interval
+                                                 : std::max(settings_.member_interval, requested->second);
 }
 
-Duration ControlFeed::answerLimit(const NodeName& member) const {
+Duration ControlFeed::answerTimeout(const NodeName& member) const {
   const bool leads = member == leader_;
-  return leads ? std::max(settings_.answer_limit, 2 * leader_asked_interval_) : settings_.answer_limit;
+  return leads ? std::max(settings_.answer_timeout, 2 * leader_requested_interval_)
+               : settings_.answer_timeout;
 }
 
-Duration ControlFeed::leaderSilence() const {
-  return std::max(settings_.leader_silence, kSilentIntervals * leader_asked_interval_ / 2);
+Duration ControlFeed::leaderTimeout() const {
+  return std::max(settings_.leader_timeout, kLeaderTimeoutHalfIntervals * leader_requested_interval_ / 2);
 }
 
 void ControlFeed::confirm(const wire::ServiceUpdate& update, CatalogVersion held) {
@@ -122,15 +124,15 @@
 }
 
 bool ControlFeed::due(TimePoint now) const {
-  return tell_all_ || now >= nextDeadline();
+  return notify_all_ || now >= nextDeadline();
 }
 
 TimePoint ControlFeed::nextDeadline() const {
-  TimePoint next = hurried_ ? last_status_ + kLeastDistance : TimePoint::max();
+  TimePoint next = expedited_ ? last_status_ + kMinStatusInterval : TimePoint::max();
   next = std::min(next, next_leader_status_);
   // Members that requested longer intervals get their statuses together with the leader's: a separate step
   // for each would also send a status to the leader.
-  if (leader_.empty() || !asked_interval_.empty()) {
+  if (leader_.empty() || !requested_intervals_.empty()) {
     return next;
   }
   for (const NodeName& member : members_) {
@@ -144,14 +146,14 @@
 /// Returns the members that are due. While no leader is known these are all members, or only a few if longer
 /// intervals were requested.
 std::set<NodeName> ControlFeed::membersDue(TimePoint now) {
-  if (leader_.empty() && !tell_all_ && !asked_interval_.empty()) {
-    return membersToAsk();
+  if (leader_.empty() && !notify_all_ && !requested_intervals_.empty()) {
+    return membersToQuery();
   }
   std::set<NodeName> due;
   for (const NodeName& member : members_) {
     const auto next = next_member_status_.find(member);
     const bool turn = next == next_member_status_.end() || now >= next->second;
-    if (member != leader_ && (tell_all_ || leader_.empty() || turn)) {
+    if (member != leader_ && (notify_all_ || leader_.empty() || turn)) {
       due.insert(member);
     }
   }
@@ -159,25 +161,25 @@
 }
 
 /// Returns the leader named by other members, and the next member in turn.
-std::set<NodeName> ControlFeed::membersToAsk() {
-  std::set<NodeName> asked;
-  if (!named_leader_.empty()) {
-    asked.insert(named_leader_);
+std::set<NodeName> ControlFeed::membersToQuery() {
+  std::set<NodeName> requested;
+  if (!suggested_leader_.empty()) {
+    requested.insert(suggested_leader_);
   }
-  auto next = members_.upper_bound(last_asked_);
+  auto next = members_.upper_bound(last_queried_);
   next = next == members_.end() ? members_.begin() : next;
   if (next != members_.end()) {
-    last_asked_ = *next;
-    asked.insert(*next);
+    last_queried_ = *next;
+    requested.insert(*next);
   }
-  return asked;
+  return requested;
 }
 
-std::vector<wire::SendEffect> ControlFeed::statuses(RouterNews news, TimePoint now) {
-  const bool leader_silent = !leader_heard_ || now - *leader_heard_ > leaderSilence();
-  if (leader_silent && !leader_.empty()) {
+std::vector<wire::SendEffect> ControlFeed::statuses(RouterState state, TimePoint now) {
+  const bool leader_timed_out = !leader_heard_ || now - *leader_heard_ > leaderTimeout();
+  if (leader_timed_out && !leader_.empty()) {
     leader_ = NodeName{};
-    named_leader_ = NodeName{};
+    suggested_leader_ = NodeName{};
   }
   const std::set<NodeName> due = membersDue(now);
   wire::CallRouterStatus status;
@@ -186,46 +188,46 @@
   status.address = settings_.address;
   status.incarnation = settings_.incarnation;
   status.sequence = ++sequence_;
-  status.accepting = news.accepting;
-  status.catalog = news.catalog;
-  status.crash_digest = news.crash_digest;
+  status.accepting = state.accepting;
+  status.catalog = state.catalog;
+  status.crash_digest = state.crash_digest;
   status.revision = revision_;
   status.missed_update = missed_update_;
   status.subscribes = true;
   status.table = table_;
   status.directory = wire::directoryDigest(directory_);
-  status.wants_proof = proof_.isNeeded() && !proof_.holds(now + kProofInHand);
+  status.wants_proof = proof_.isNeeded() && !proof_.holds(now + kProofRenewalMargin);
   proof_.onStatusSent(sequence_, now);
-  wire::CallRouterStatus leaders = status;
-  leaders.wants = std::move(news.wants);
-  leaders.unreachable = std::move(news.unreachable);
-  leaders.uses = std::move(news.uses);
-  leaders.paces = std::move(news.paces);
-  if (holdsPart()) {
-    leaders.interests = std::move(news.interests);
+  wire::CallRouterStatus leader_status = status;
+  leader_status.wants = std::move(state.wants);
+  leader_status.unreachable = std::move(state.unreachable);
+  leader_status.uses = std::move(state.uses);
+  leader_status.paces = std::move(state.paces);
+  if (holdsSubscribedTable()) {
+    leader_status.interests = std::move(state.interests);
   }
   std::vector<wire::SendEffect> sends;
   for (const NodeName& member : due) {
-    sends.push_back({member, leader_.empty() ? leaders : status});
+    sends.push_back({member, leader_.empty() ? leader_status : status});
     next_member_status_[member] = now + memberInterval(member);
   }
   if (!leader_.empty()) {
-    sends.push_back({leader_, std::move(leaders)});
+    sends.push_back({leader_, std::move(leader_status)});
   }
   for (const wire::SendEffect& send : sends) {
     unanswered_since_.try_emplace(send.to, now);
   }
   last_status_ = now;
-  next_leader_status_ = now + (leader_.empty() ? askInterval() : leaderInterval());
-  hurried_ = false;
-  tell_all_ = false;
+  next_leader_status_ = now + (leader_.empty() ? searchInterval() : leaderInterval());
+  expedited_ = false;
+  notify_all_ = false;
   return sends;
 }
 
-std::vector<NodeName> ControlFeed::unansweringMembers(TimePoint now) {
+std::vector<NodeName> ControlFeed::unresponsiveMembers(TimePoint now) {
   std::vector<NodeName> members;
   for (auto& [member, since] : unanswered_since_) {
-    if (now - since >= answerLimit(member)) {
+    if (now - since >= answerTimeout(member)) {
       members.push_back(member);
       since = now;
     }
--- a/src/calls/control_feed.h
+++ b/src/calls/control_feed.h
@@ -20,21 +20,21 @@
   Duration leader_interval = std::chrono::milliseconds(250);  ///< interval of statuses to the leader
   /// Status interval until the first answer of any member. A status to a peer that isn't connected yet is
   /// dropped at no cost.
-  Duration first_interval = std::chrono::milliseconds(50);
+  Duration initial_interval = std::chrono::milliseconds(50);
   /// Status interval to each other member. As for leader_interval, a member may request a longer one.
   Duration member_interval = std::chrono::milliseconds(1000);
-  Duration leader_silence =
+  Duration leader_timeout =
       std::chrono::milliseconds(1000);  ///< time without contact after which another leader is searched for
   /// Members answer each status within half a second. The connection to a member that hasn't answered for
   /// this long is replaced, since it may be dead without having been closed. Longer than the transport's own
   /// timeout, so that a member that is merely slow gets no new connection.
-  Duration answer_limit = std::chrono::milliseconds(1500);
+  Duration answer_timeout = std::chrono::milliseconds(1500);
   /// How long keys of a catalog may be accepted after its last confirmation; nullopt: without limit.
   std::optional<Duration> key_lifetime;
 };
 
 /// Contents of a status that the feed doesn't hold itself.
-struct RouterNews {
+struct RouterState {
   std::vector<wire::ModelWant> wants;          ///< sent to the leader only
   std::vector<ReplicaId> unreachable;          ///< sent to the leader only
   bool accepting = false;                      ///< callers may be directed to this router
@@ -66,21 +66,21 @@
   void confirm(const wire::ServiceUpdate& update, CatalogVersion held);
   const tenancy::CatalogProof& proof() const { return proof_; }
   /// Records a message of the member, which shows that its connection works.
-  void noteAnswer(const NodeName& from) { unanswered_since_.erase(from); }
+  void recordAnswer(const NodeName& from) { unanswered_since_.erase(from); }
   void addSeeds(const std::vector<NodeName>& seeds) { addMembers(seeds); }
 
   /// Requests that a status be sent to the leader soon, because demand or revisions have changed.
-  void hurry() { hurried_ = true; }
+  void expedite() { expedited_ = true; }
   /// Requests that a status be sent to all members at once, or only to the leader if it informs the others.
-  void tellAll();
+  void notifyAll();
   /// True if statuses() would send something.
   bool due(TimePoint now) const;
   /// Returns the statuses that are due. While the leader is unknown, members get the status that is meant for
   /// it.
-  std::vector<wire::SendEffect> statuses(RouterNews news, TimePoint now);
+  std::vector<wire::SendEffect> statuses(RouterState state, TimePoint now);
   /// Returns the members that have answered no status within the timeout. A member is returned again only
   /// after another such period.
-  std::vector<NodeName> unansweringMembers(TimePoint now);
+  std::vector<NodeName> unresponsiveMembers(TimePoint now);
   TimePoint nextDeadline() const;
 
   /// Addresses that callers may connect to, as last published by a leader; kept while there is no leader.
@@ -90,21 +90,21 @@
   std::optional<TimePoint> leaderHeard() const { return leader_heard_; }
   const std::set<NodeName>& members() const { return members_; }
   /// True if the table lists only the replicas that this router subscribes to.
-  bool holdsPart() const { return table_ != 0; }
+  bool holdsSubscribedTable() const { return table_ != 0; }
 
  private:
   void addMembers(const std::vector<NodeName>& members);
-  bool acceptTable(const wire::ServiceUpdate& update);
-  bool acceptPart(const wire::ServiceUpdate& update);
+  bool acceptFullTable(const wire::ServiceUpdate& update);
+  bool acceptSubscribedTable(const wire::ServiceUpdate& update);
   Duration leaderInterval() const;
-  Duration askInterval() const;
+  Duration searchInterval() const;
   Duration memberInterval(const NodeName& member) const;
-  Duration answerLimit(const NodeName& member) const;
+  Duration answerTimeout(const NodeName& member) const;
   /// Time without contact after which the leader is considered lost.
-  Duration leaderSilence() const;
+  Duration leaderTimeout() const;
   /// Members that a status is due for.
   std::set<NodeName> membersDue(TimePoint now);
-  std::set<NodeName> membersToAsk();
+  std::set<NodeName> membersToQuery();
 
   ControlFeedSettings settings_;
   std::set<NodeName> members_;
@@ -116,15 +116,15 @@
   std::uint64_t sequence_ = 0;
   TimePoint next_leader_status_{};
   std::map<NodeName, TimePoint> next_member_status_;  ///< of members other than the leader
-  std::map<NodeName, Duration> asked_interval_;       ///< of members that requested a longer interval
-  Duration leader_asked_interval_{};                  ///< zero: the default
-  NodeName named_leader_;  ///< leader named by a member while there is no contact with one
-  NodeName last_asked_;    ///< member queried last while no leader is known
+  std::map<NodeName, Duration> requested_intervals_;  ///< of members that requested a longer interval
+  Duration leader_requested_interval_{};              ///< zero: the default
+  NodeName suggested_leader_;  ///< leader named by a member while there is no contact with one
+  NodeName last_queried_;      ///< member queried last while no leader is known
   TimePoint last_status_{};
-  bool hurried_ = false;
+  bool expedited_ = false;
   bool missed_update_ = false;
-  bool tell_all_ = false;
-  bool answered_ = false;  ///< some member has answered
+  bool notify_all_ = false;
+  bool member_answered_ = false;  ///< some member has answered
   tenancy::CatalogProof proof_;
   /// Members with an unanswered status, with the time of the first such status.
   std::map<NodeName, TimePoint> unanswered_since_;
--- a/src/calls/expected_loads.cc
+++ b/src/calls/expected_loads.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// Callers return slightly later than their retry time.
-constexpr Duration kBackLate = std::chrono::milliseconds(700);
+constexpr Duration kReturnDelay = std::chrono::milliseconds(700);
 
 }  // namespace
 
@@ -21,15 +21,16 @@
   return found == ready_.end() || found->second <= now ? std::nullopt : std::optional(found->second);
 }
 
-void ExpectedLoads::expectBack(const ServiceName& service, const ModelName& model, TimePoint at) {
-  absences_.push_back({{service, model}, at + kBackLate});
+void ExpectedLoads::addReturningCaller(const ServiceName& service, const ModelName& model, TimePoint at) {
+  returning_callers_.push_back({{service, model}, at + kReturnDelay});
 }
 
-std::map<ExpectedLoads::Key, std::uint32_t> ExpectedLoads::expectedBack(TimePoint now) {
-  std::erase_if(absences_, [now](const Absence& absence) { return absence.over <= now; });
+std::map<ExpectedLoads::Key, std::uint32_t> ExpectedLoads::returningCallers(TimePoint now) {
+  std::erase_if(returning_callers_,
+                [now](const ReturningCaller& caller) { return caller.expected_until <= now; });
   std::map<Key, std::uint32_t> expected;
-  for (const Absence& absence : absences_) {
-    ++expected[absence.key];
+  for (const ReturningCaller& caller : returning_callers_) {
+    ++expected[caller.key];
   }
   return expected;
 }
--- a/src/calls/expected_loads.h
+++ b/src/calls/expected_loads.h
@@ -25,17 +25,17 @@
 
   /// Records a caller who was refused and is expected to retry at this time. Until then it counts as demand
   /// for the model.
-  void expectBack(const ServiceName& service, const ModelName& model, TimePoint at);
+  void addReturningCaller(const ServiceName& service, const ModelName& model, TimePoint at);
   /// Returns the number of callers who are still expected, by service and model.
-  std::map<Key, std::uint32_t> expectedBack(TimePoint now);
+  std::map<Key, std::uint32_t> returningCallers(TimePoint now);
 
  private:
-  struct Absence {
+  struct ReturningCaller {
     Key key;
-    TimePoint over;
+    TimePoint expected_until;
   };
   std::map<Key, TimePoint> ready_;
-  std::deque<Absence> absences_;
+  std::deque<ReturningCaller> returning_callers_;
 };
 
 }  // namespace ferryrock::calls
--- a/src/calls/model_interests.cc
+++ b/src/calls/model_interests.cc
@@ -4,15 +4,15 @@
 
 namespace ferryrock::calls {
 
-void ModelInterests::note(const ServiceName& service, const ModelName& model, const std::string& adapter,
-                          TimePoint now) {
+void ModelInterests::record(const ServiceName& service, const ModelName& model, const std::string& adapter,
+                            TimePoint now) {
   last_used_[{service, model, adapter}] = now;
-  if (last_used_.size() > kMostKept) {
-    dropOldest();
+  if (last_used_.size() > kMaxEntries) {
+    evictOldest();
   }
 }
 
-void ModelInterests::dropOldest() {
+void ModelInterests::evictOldest() {
   const auto oldest =
       std::min_element(last_used_.begin(), last_used_.end(),
                        [](const auto& left, const auto& right) { return left.second < right.second; });
@@ -20,7 +20,7 @@
 }
 
 std::vector<wire::ModelInterest> ModelInterests::list(TimePoint now) {
-  std::erase_if(last_used_, [now](const auto& item) { return now - item.second > kKeptFor; });
+  std::erase_if(last_used_, [now](const auto& item) { return now - item.second > kRetention; });
   std::vector<wire::ModelInterest> interests;
   interests.reserve(last_used_.size());
   for (const auto& [key, used] : last_used_) {
--- a/src/calls/model_interests.h
+++ b/src/calls/model_interests.h
@@ -17,18 +17,18 @@
 /// used by one thread.
 class ModelInterests {
  public:
-  void note(const ServiceName& service, const ModelName& model, const std::string& adapter, TimePoint now);
+  void record(const ServiceName& service, const ModelName& model, const std::string& adapter, TimePoint now);
   /// Returns the current entries, ordered by name.
   std::vector<wire::ModelInterest> list(TimePoint now);
 
   /// Retention after the last call.
-  static constexpr Duration kKeptFor = std::chrono::seconds(30);
-  static constexpr std::size_t kMostKept = 64;
+  static constexpr Duration kRetention = std::chrono::seconds(30);
+  static constexpr std::size_t kMaxEntries = 64;
 
  private:
   using Key = std::tuple<ServiceName, ModelName, std::string>;
 
-  void dropOldest();
+  void evictOldest();
 
   std::map<Key, TimePoint> last_used_;
 };
--- a/src/calls/replica_limits.cc
+++ b/src/calls/replica_limits.cc
@@ -10,21 +10,21 @@
 
 /// Maximum number of replicas whose limits are kept, as many as need one at the same time in the largest
 /// planned fleet.
-constexpr std::size_t kRememberedLimits = 4'000;
+constexpr std::size_t kMaxRetainedLimits = 4'000;
 /// A leader sends an update to each router every 250 ms; after this time without contact it may be gone.
 constexpr Duration kLeaderSilence = 700ms;
 /// A reply takes about 5 ms. A leader that is busy or gone isn't waited for any longer than this.
-constexpr Duration kAnswerLimit = 250ms;
+constexpr Duration kReplyTimeout = 250ms;
 /// Requests are kept for this long, so that a late grant can be returned. A grant that arrives later still is
 /// lost to the replica's callers.
-constexpr Duration kLateAnswer = 1s;
+constexpr Duration kLateReplyRetention = 1s;
 /// Share of a limit that all routers together use without a leader, on average. It leaves room for the calls
 /// that a leader may have granted in the 4 s before.
-constexpr double kOwnPartShare = 0.5;
+constexpr double kLocalAllowanceShare = 0.5;
 /// Maximum share of a limit for which spare credits are requested.
 constexpr double kSpareShare = 0.5;
-constexpr Duration kLeastSpareInterval = 1s;
-constexpr std::size_t kMostReturned = 1'000;
+constexpr Duration kMinSpareInterval = 1s;
+constexpr std::size_t kMaxReturned = 1'000;
 
 std::int64_t ageInMilliseconds(TimePoint at, TimePoint now) {
   return std::max<std::int64_t>(0, toMilliseconds(now - at));
@@ -35,59 +35,60 @@
 ReplicaLimits::Limit& ReplicaLimits::addLimit(const ReplicaId& replica, double per_second, TimePoint now) {
   Limit limit;
   limit.per_second = per_second;
-  limit.named = now;
-  limit.heard = now;
-  limit.own_part_at = now;
-  limit.next_spare_ask = now + Duration(static_cast<Duration::rep>(
-                                   random_.unit() * static_cast<double>(spareInterval(limit).count())));
+  limit.stated_at = now;
+  limit.any_stated_at = now;
+  limit.allowance_updated_at = now;
+  limit.next_spare_request = now + Duration(static_cast<Duration::rep>(
+                                       random_.unit() * static_cast<double>(spareInterval(limit).count())));
   return limits_.insert_or_assign(replica, limit).first->second;
 }
 
-ReplicaLimits::Change ReplicaLimits::name(const ReplicaId& replica, double per_second,
-                                          std::optional<TimePoint> sent, TimePoint now) {
+ReplicaLimits::Change ReplicaLimits::recordLimit(const ReplicaId& replica, double per_second,
+                                                 std::optional<TimePoint> sent, TimePoint now) {
   const auto known = limits_.find(replica);
   if (known == limits_.end()) {
     addLimit(replica, per_second, now);
-    tell(replica, per_second, now);
-    keepBounded();
-    return Change::Named;
+    queueReport(replica, per_second, now);
+    enforceBounds();
+    return Change::Added;
   }
   Limit& limit = known->second;
-  limit.heard = now;
+  limit.any_stated_at = now;
   const bool same = per_second == limit.per_second;
   // A higher limit counts as the newer value only if its call was sent after the lower limit was last stated.
-  const bool later = sent && *sent > limit.named;
+  const bool later = sent && *sent > limit.stated_at;
   if (!same && !later && per_second > limit.per_second) {
     return Change::None;
   }
   limit.per_second = per_second;
-  limit.named = now;
+  limit.stated_at = now;
   if (same) {
     return Change::None;
   }
-  tell(replica, per_second, now);
+  queueReport(replica, per_second, now);
   return Change::Changed;
 }
 
-ReplicaLimits::Change ReplicaLimits::end(const ReplicaId& replica, TimePoint sent) {
+ReplicaLimits::Change ReplicaLimits::recordNoLimit(const ReplicaId& replica, TimePoint sent) {
   const auto limit = limits_.find(replica);
-  if (limit == limits_.end() || sent <= limit->second.heard) {
+  if (limit == limits_.end() || sent <= limit->second.any_stated_at) {
     return Change::None;
   }
   limits_.erase(limit);
-  tell(replica, std::nullopt, sent);
+  queueReport(replica, std::nullopt, sent);
   return Change::Ended;
 }
 
 /// A limit that this router received itself is kept: it is as recent, and credit requests report its age to
 /// the leader.
-ReplicaLimits::Change ReplicaLimits::onTold(const ReplicaId& replica, double per_second, TimePoint now) {
+ReplicaLimits::Change ReplicaLimits::onLeaderLimit(const ReplicaId& replica, double per_second,
+                                                   TimePoint now) {
   if (limits_.contains(replica)) {
     return Change::None;
   }
   addLimit(replica, per_second, now);
-  keepBounded();
-  return Change::Named;
+  enforceBounds();
+  return Change::Added;
 }
 
 std::optional<double> ReplicaLimits::limitOf(const ReplicaId& replica) const {
@@ -96,24 +97,24 @@
 }
 
 /// Evicts the limit that was stated the longest time ago.
-void ReplicaLimits::keepBounded() {
-  if (limits_.size() <= kRememberedLimits) {
+void ReplicaLimits::enforceBounds() {
+  if (limits_.size() <= kMaxRetainedLimits) {
     return;
   }
   limits_.erase(std::min_element(limits_.begin(), limits_.end(), [](const auto& left, const auto& right) {
-    return left.second.named < right.second.named;
+    return left.second.stated_at < right.second.stated_at;
   }));
 }
 
-void ReplicaLimits::tell(const ReplicaId& replica, std::optional<double> per_second, TimePoint at) {
-  news_.insert_or_assign(replica, News{per_second, at});
+void ReplicaLimits::queueReport(const ReplicaId& replica, std::optional<double> per_second, TimePoint at) {
+  pending_reports_.insert_or_assign(replica, LimitReport{per_second, at});
 }
 
-bool ReplicaLimits::leaderSilent(TimePoint now) const {
+bool ReplicaLimits::leaderTimedOut(TimePoint now) const {
   return !leader_grants_ || !leader_heard_ || now - *leader_heard_ > kLeaderSilence;
 }
 
-TimePoint ReplicaLimits::silenceBegan() const {
+TimePoint ReplicaLimits::leaderlessSince() const {
   return leader_heard_ ? *leader_heard_ + (leader_grants_ ? kLeaderSilence : Duration::zero()) : TimePoint{};
 }
 
@@ -125,13 +126,13 @@
 
 /// Scales with the number of routers, so that the total rate of requests doesn't depend on it.
 Duration ReplicaLimits::spareInterval(const Limit& limit) const {
-  const double asked_per_second = kSpareShare * std::max(limit.per_second, wire::kLeastLimitRate);
-  const std::chrono::duration<double> interval(routers_ / asked_per_second);
-  return std::max(kLeastSpareInterval, std::chrono::duration_cast<Duration>(interval));
+  const double requests_per_second = kSpareShare * std::max(limit.per_second, wire::kLeastLimitRate);
+  const std::chrono::duration<double> interval(routers_ / requests_per_second);
+  return std::max(kMinSpareInterval, std::chrono::duration_cast<Duration>(interval));
 }
 
 bool ReplicaLimits::hasSpare(const Limit& limit, TimePoint now) const {
-  return limit.spare_from && now >= *limit.spare_from && now < *limit.spare_from + kCreditLasts;
+  return limit.spare_from && now >= *limit.spare_from && now < *limit.spare_from + kCreditTtl;
 }
 
 bool ReplicaLimits::hasSpareCredit(const ReplicaId& replica, TimePoint now) const {
@@ -142,15 +143,16 @@
 /// Each leaderless period starts with a random fraction of one call. This way all routers together send what
 /// their shares allow, without an initial burst, however many routers there are and however small their
 /// shares.
-void ReplicaLimits::growOwnPart(Limit& limit, TimePoint now) {
-  if (limit.own_part_of != silenceBegan()) {
-    limit.own_part_of = silenceBegan();
-    limit.own_part = random_.unit();
-    limit.own_part_at = std::max(limit.own_part_at, std::min(now, silenceBegan()));
+void ReplicaLimits::accrueLocalAllowance(Limit& limit, TimePoint now) {
+  if (limit.allowance_period != leaderlessSince()) {
+    limit.allowance_period = leaderlessSince();
+    limit.local_allowance = random_.unit();
+    limit.allowance_updated_at = std::max(limit.allowance_updated_at, std::min(now, leaderlessSince()));
   }
-  const double rate = kOwnPartShare * limit.per_second / routers_;
-  limit.own_part = std::min(1.0, limit.own_part + rate * toSeconds(now - limit.own_part_at));
-  limit.own_part_at = now;
+  const double rate = kLocalAllowanceShare * limit.per_second / routers_;
+  limit.local_allowance =
+      std::min(1.0, limit.local_allowance + rate * toSeconds(now - limit.allowance_updated_at));
+  limit.allowance_updated_at = now;
 }
 
 bool ReplicaLimits::admits(const ReplicaId& replica, TimePoint now) {
@@ -158,11 +160,11 @@
   if (found == limits_.end() || hasSpare(found->second, now)) {
     return true;
   }
-  if (!leaderSilent(now)) {
+  if (!leaderTimedOut(now)) {
     return false;
   }
-  growOwnPart(found->second, now);
-  return found->second.own_part >= 1;
+  accrueLocalAllowance(found->second, now);
+  return found->second.local_allowance >= 1;
 }
 
 void ReplicaLimits::onSent(const ReplicaId& replica, TimePoint now) {
@@ -176,41 +178,42 @@
     return;
   }
   ++counts_.alone;
-  found->second.own_part -= 1;
+  found->second.local_allowance -= 1;
 }
 
-std::optional<std::uint64_t> ReplicaLimits::ask(const ReplicaId& replica, Duration wait, TimePoint now) {
-  if (leaderSilent(now)) {
+std::optional<std::uint64_t> ReplicaLimits::requestCredit(const ReplicaId& replica, Duration wait,
+                                                          TimePoint now) {
+  if (leaderTimedOut(now)) {
     return std::nullopt;
   }
   ++counts_.asked;
-  asks_.emplace(next_ask_, Ask{replica, now, wait});
-  return next_ask_++;
+  requests_.emplace(next_request_, CreditRequest{replica, now, wait});
+  return next_request_++;
 }
 
-void ReplicaLimits::askSpare(const ReplicaId& replica, TimePoint now) {
+void ReplicaLimits::requestSpareCredit(const ReplicaId& replica, TimePoint now) {
   const auto found = limits_.find(replica);
-  if (found == limits_.end() || now < found->second.next_spare_ask || leaderSilent(now)) {
+  if (found == limits_.end() || now < found->second.next_spare_request || leaderTimedOut(now)) {
     return;
   }
-  found->second.next_spare_ask = now + spareInterval(found->second);
-  asks_.emplace(next_ask_++, Ask{replica, now, Duration::zero(), true});
+  found->second.next_spare_request = now + spareInterval(found->second);
+  requests_.emplace(next_request_++, CreditRequest{replica, now, Duration::zero(), true});
 }
 
 void ReplicaLimits::abandon(std::uint64_t number) {
-  const auto ask = asks_.find(number);
-  if (ask == asks_.end()) {
+  const auto pending = requests_.find(number);
+  if (pending == requests_.end()) {
     return;
   }
-  if (ask->second.sent) {
-    ask->second.abandoned = true;
+  if (pending->second.sent) {
+    pending->second.abandoned = true;
   } else {
-    asks_.erase(ask);
+    requests_.erase(pending);
   }
 }
 
 void ReplicaLimits::giveBack(const ReplicaId& replica) {
-  if (limits_.contains(replica) && returned_.size() < kMostReturned) {
+  if (limits_.contains(replica) && returned_.size() < kMaxReturned) {
     ++counts_.returned;
     returned_.push_back(replica);
   }
@@ -222,35 +225,35 @@
     return resolved;
   }
   for (const wire::LimitDecision& decision : reply.decisions) {
-    const auto found = asks_.find(decision.number);
-    if (found == asks_.end()) {
+    const auto found = requests_.find(decision.number);
+    if (found == requests_.end()) {
       continue;
     }
-    const Ask ask = found->second;
-    asks_.erase(found);
-    if (const auto one = resolve(decision.number, ask, decision, now)) {
+    const CreditRequest pending = found->second;
+    requests_.erase(found);
+    if (const auto one = resolve(decision.number, pending, decision, now)) {
       resolved.push_back(*one);
     }
   }
   return resolved;
 }
 
-std::optional<LimitResolved> ReplicaLimits::resolve(std::uint64_t number, const Ask& ask,
+std::optional<LimitResolved> ReplicaLimits::resolve(std::uint64_t number, const CreditRequest& pending,
                                                     const wire::LimitDecision& decision, TimePoint now) {
   const TimePoint at = now + std::chrono::milliseconds(std::max<std::int64_t>(0, decision.wait_ms));
-  const auto limit = limits_.find(ask.replica);
-  const bool heard_since = limit != limits_.end() && limit->second.heard > ask.since;
-  if (decision.unlimited && limit != limits_.end() && !heard_since) {
+  const auto limit = limits_.find(pending.replica);
+  const bool stated_since = limit != limits_.end() && limit->second.any_stated_at > pending.since;
+  if (decision.unlimited && limit != limits_.end() && !stated_since) {
     limits_.erase(limit);
   }
   const bool credit = decision.granted && !decision.unlimited;
-  if (ask.abandoned) {
+  if (pending.abandoned) {
     if (credit) {
-      giveBack(ask.replica);
+      giveBack(pending.replica);
     }
     return std::nullopt;
   }
-  if (ask.spare) {
+  if (pending.spare) {
     if (credit && limit != limits_.end()) {
       limit->second.spare_from = at;
     }
@@ -263,51 +266,51 @@
 
 std::vector<LimitResolved> ReplicaLimits::tick(TimePoint now) {
   std::vector<LimitResolved> resolved;
-  for (auto& [number, ask] : asks_) {
-    if (!ask.abandoned && now - ask.since >= kAnswerLimit) {
-      ask.abandoned = true;
-      if (!ask.spare) {
+  for (auto& [number, pending] : requests_) {
+    if (!pending.abandoned && now - pending.since >= kReplyTimeout) {
+      pending.abandoned = true;
+      if (!pending.spare) {
         ++counts_.unanswered;
         resolved.push_back({number, LimitResolved::Verdict::Unanswered, now});
       }
     }
   }
-  std::erase_if(asks_, [now](const auto& item) {
-    const Ask& ask = item.second;
-    return ask.abandoned && (!ask.sent || now - ask.since >= kLateAnswer);
+  std::erase_if(requests_, [now](const auto& item) {
+    const CreditRequest& pending = item.second;
+    return pending.abandoned && (!pending.sent || now - pending.since >= kLateReplyRetention);
   });
   return resolved;
 }
 
 std::optional<wire::LimitRequest> ReplicaLimits::message(TimePoint now) {
   const bool unsent =
-      std::any_of(asks_.begin(), asks_.end(), [](const auto& item) { return !item.second.sent; });
-  if ((news_.empty() && returned_.empty() && !unsent) || leaderSilent(now)) {
+      std::any_of(requests_.begin(), requests_.end(), [](const auto& item) { return !item.second.sent; });
+  if ((pending_reports_.empty() && returned_.empty() && !unsent) || leaderTimedOut(now)) {
     return std::nullopt;
   }
   wire::LimitRequest request;
   request.router = settings_.router;
   request.incarnation = settings_.incarnation;
   request.sequence = ++sequence_;
-  for (const auto& [replica, news] : std::exchange(news_, {})) {
-    request.heard.push_back({replica, news.per_second, ageInMilliseconds(news.at, now)});
+  for (const auto& [replica, report] : std::exchange(pending_reports_, {})) {
+    request.heard.push_back({replica, report.per_second, ageInMilliseconds(report.at, now)});
   }
   request.returned = std::exchange(returned_, {});
-  for (auto& [number, ask] : asks_) {
-    const auto limit = limits_.find(ask.replica);
-    if (!ask.sent && limit != limits_.end()) {
-      request.asks.push_back({number, ask.replica, toMilliseconds(ask.wait), limit->second.per_second,
-                              ageInMilliseconds(limit->second.named, now)});
+  for (auto& [number, pending] : requests_) {
+    const auto limit = limits_.find(pending.replica);
+    if (!pending.sent && limit != limits_.end()) {
+      request.asks.push_back({number, pending.replica, toMilliseconds(pending.wait), limit->second.per_second,
+                              ageInMilliseconds(limit->second.stated_at, now)});
     }
-    ask.sent = true;
+    pending.sent = true;
   }
   return request;
 }
 
 TimePoint ReplicaLimits::nextDeadline() const {
   TimePoint deadline = TimePoint::max();
-  for (const auto& [number, ask] : asks_) {
-    deadline = std::min(deadline, ask.since + (ask.abandoned ? kLateAnswer : kAnswerLimit));
+  for (const auto& [number, pending] : requests_) {
+    deadline = std::min(deadline, pending.since + (pending.abandoned ? kLateReplyRetention : kReplyTimeout));
   }
   return deadline;
 }
--- a/src/calls/replica_limits.h
+++ b/src/calls/replica_limits.h
@@ -24,7 +24,7 @@
     Refused,     ///< no credit is available before `at`
     Unanswered,  ///< no leader decided in time
   };
-  std::uint64_t ask = 0;
+  std::uint64_t request_number = 0;
   Verdict verdict = Verdict::Unanswered;
   TimePoint at{};
 };
@@ -52,22 +52,23 @@
 
   enum class Change : std::uint8_t {
     None,
-    Named,    ///< the replica had no limit before
+    Added,    ///< the replica had no limit before
     Changed,  ///< the limit has another value
     Ended,    ///< the replica no longer has a limit
   };
 
   /// Records a limit stated in the headers of a response. If the order of two responses isn't known, the
   /// lower limit applies. sent: time at which the call that was answered was sent; nullopt: unknown.
-  Change name(const ReplicaId& replica, double per_second, std::optional<TimePoint> sent, TimePoint now);
+  Change recordLimit(const ReplicaId& replica, double per_second, std::optional<TimePoint> sent,
+                     TimePoint now);
   /// Records a response that states no limit. It ends a limit only if the call was sent after the limit was
   /// last stated, since responses may arrive out of order.
-  Change end(const ReplicaId& replica, TimePoint sent);
+  Change recordNoLimit(const ReplicaId& replica, TimePoint sent);
   /// Records a limit that the leader learned from other routers.
-  Change onTold(const ReplicaId& replica, double per_second, TimePoint now);
+  Change onLeaderLimit(const ReplicaId& replica, double per_second, TimePoint now);
   /// Removes a limit because another router got a response without one, as published by the leader. If this
   /// router has since received the limit again, the next response will restore it.
-  void onToldEnd(const ReplicaId& replica) { limits_.erase(replica); }
+  void onLeaderLimitEnd(const ReplicaId& replica) { limits_.erase(replica); }
   /// Removes the limit of an incarnation that has ended.
   void forget(const ReplicaId& replica) { limits_.erase(replica); }
 
@@ -86,12 +87,12 @@
   /// Records that a call with a credit of its own is sent.
   void onSentWithCredit() { ++counts_.sent; }
   /// Requests a credit for a call that can wait for the given time; nullopt: no contact with a leader.
-  std::optional<std::uint64_t> ask(const ReplicaId& replica, Duration wait, TimePoint now);
+  std::optional<std::uint64_t> requestCredit(const ReplicaId& replica, Duration wait, TimePoint now);
   /// Requests at intervals a credit that any call may use. This way the replica is used even while others can
   /// take the calls, and the end of its limit is noticed.
-  void askSpare(const ReplicaId& replica, TimePoint now);
+  void requestSpareCredit(const ReplicaId& replica, TimePoint now);
   /// Abandons the request of a call that has ended. A credit that is still granted to it is returned.
-  void abandon(std::uint64_t ask);
+  void abandon(std::uint64_t request_number);
   /// Returns a credit that wasn't used, or whose call certainly wasn't sent.
   void giveBack(const ReplicaId& replica);
   std::vector<LimitResolved> accept(const wire::LimitReply& reply, TimePoint now);
@@ -103,20 +104,21 @@
   const ReplicaLimitCounts& counts() const { return counts_; }
 
   /// A granted credit expires if it isn't used within this time.
-  static constexpr Duration kCreditLasts = std::chrono::seconds(1);
+  static constexpr Duration kCreditTtl = std::chrono::seconds(1);
 
  private:
   struct Limit {
     double per_second = 0;
-    TimePoint named{};                    ///< time of the last response that stated this value
-    TimePoint heard{};                    ///< time of the last response that stated any value
+    TimePoint stated_at{};                ///< time of the last response that stated this value
+    TimePoint any_stated_at{};            ///< time of the last response that stated any value
     std::optional<TimePoint> spare_from;  ///< start of the validity of a credit that any call may use
-    TimePoint next_spare_ask{};
-    double own_part = 0;  ///< number of calls that may be sent without a leader
-    TimePoint own_part_at{};
-    std::optional<TimePoint> own_part_of;  ///< leaderless period of the start value, see silenceBegan()
+    TimePoint next_spare_request{};
+    double local_allowance = 0;  ///< number of calls that may be sent without a leader
+    TimePoint allowance_updated_at{};
+    std::optional<TimePoint>
+        allowance_period;  ///< leaderless period of the start value, see leaderlessSince()
   };
-  struct Ask {
+  struct CreditRequest {
     ReplicaId replica;
     TimePoint since{};
     Duration wait{};
@@ -125,16 +127,16 @@
     bool abandoned = false;
   };
 
-  bool leaderSilent(TimePoint now) const;
-  TimePoint silenceBegan() const;
+  bool leaderTimedOut(TimePoint now) const;
+  TimePoint leaderlessSince() const;
   Limit& addLimit(const ReplicaId& replica, double per_second, TimePoint now);
-  void tell(const ReplicaId& replica, std::optional<double> per_second, TimePoint at);
+  void queueReport(const ReplicaId& replica, std::optional<double> per_second, TimePoint at);
   Duration spareInterval(const Limit& limit) const;
-  void growOwnPart(Limit& limit, TimePoint now);
+  void accrueLocalAllowance(Limit& limit, TimePoint now);
   bool hasSpare(const Limit& limit, TimePoint now) const;
-  std::optional<LimitResolved> resolve(std::uint64_t number, const Ask& ask,
+  std::optional<LimitResolved> resolve(std::uint64_t number, const CreditRequest& pending,
                                        const wire::LimitDecision& decision, TimePoint now);
-  void keepBounded();
+  void enforceBounds();
 
   ReplicaLimitsSettings settings_;
   Random random_;
@@ -142,14 +144,14 @@
   std::optional<TimePoint> leader_heard_;
   bool leader_grants_ = false;
   std::uint32_t routers_ = 1;
-  std::map<std::uint64_t, Ask> asks_;
-  struct News {
+  std::map<std::uint64_t, CreditRequest> requests_;
+  struct LimitReport {
     std::optional<double> per_second;  ///< nullopt: the limit has ended
     TimePoint at{};
   };
-  std::map<ReplicaId, News> news_;  ///< pending reports to the leader
+  std::map<ReplicaId, LimitReport> pending_reports_;  ///< pending reports to the leader
   std::vector<ReplicaId> returned_;
-  std::uint64_t next_ask_ = 1;
+  std::uint64_t next_request_ = 1;
   std::uint64_t sequence_ = 0;
   ReplicaLimitCounts counts_;
 };
--- a/src/calls/replica_notices.cc
+++ b/src/calls/replica_notices.cc
@@ -8,22 +8,22 @@
 
 /// Upper bound of a backoff, so that one wrong header can't exclude a replica forever. Replicas usually
 /// request seconds; one that requests hours is out of service and gets one call an hour.
-constexpr Duration kLongestBackoff = std::chrono::hours(1);
+constexpr Duration kMaxBackoff = std::chrono::hours(1);
 /// A replica counts as fully open once more than this number of calls in flight would be permitted.
-constexpr std::uint32_t kOpenCalls = 8;
+constexpr std::uint32_t kMaxReopeningCalls = 8;
 /// A refusal arrives within a round trip, 3 to 8 ms. A replica that has refused nothing for this long since
 /// its first call is fully open, even if its responses take long.
-constexpr Duration kOpeningLimit = std::chrono::seconds(1);
+constexpr Duration kReopeningTimeout = std::chrono::seconds(1);
 /// Maximum number of draining replicas that are kept, the most recent ones. A fleet of the planned size
 /// replaces about as many in several days; each takes about 100 bytes.
-constexpr std::size_t kRememberedLeaving = 4'000;
+constexpr std::size_t kMaxRetainedLeaving = 4'000;
 /// Ended backoffs are dropped when there are more entries than this.
-constexpr std::size_t kRememberedBackoffs = 4'000;
+constexpr std::size_t kMaxRetainedBackoffs = 4'000;
 
 }  // namespace
 
-bool ReplicaNotices::Backoff::opening(TimePoint now) const {
-  return now >= until && (!reopened || now - *reopened < kOpeningLimit);
+bool ReplicaNotices::Backoff::isReopening(TimePoint now) const {
+  return now >= until && (!reopened || now - *reopened < kReopeningTimeout);
 }
 
 ReplicaNotices::Change ReplicaNotices::accept(const ReplicaId& replica, const ReplicaNotice& notice,
@@ -31,7 +31,7 @@
   Change change = Change::None;
   if (notice.retry_after) {
     Backoff& backoff = backoffs_.try_emplace(replica, Backoff{}).first->second;
-    const TimePoint until = now + std::min(*notice.retry_after, kLongestBackoff);
+    const TimePoint until = now + std::min(*notice.retry_after, kMaxBackoff);
     change = until > backoff.until ? Change::Backoff : Change::None;
     const TimePoint began = now < backoff.until ? backoff.began : now;
     backoff = {began, std::max(backoff.until, until), next_round_++, 1, 0, std::nullopt};
@@ -40,7 +40,7 @@
     by_age_.emplace_back(next_entry_++, replica);
     change = Change::Leaving;
   }
-  keepBounded(now);
+  enforceBounds(now);
   return change;
 }
 
@@ -48,11 +48,11 @@
   Backoff& backoff = backoffs_.try_emplace(replica, Backoff{}).first->second;
   const TimePoint until = std::max(backoff.until, now);
   backoff = {now, until, next_round_++, 1, 0, std::nullopt};
-  keepBounded(now);
+  enforceBounds(now);
 }
 
-void ReplicaNotices::keepBounded(TimePoint now) {
-  while (by_age_.size() > kRememberedLeaving) {
+void ReplicaNotices::enforceBounds(TimePoint now) {
+  while (by_age_.size() > kMaxRetainedLeaving) {
     const auto& [entry, replica] = by_age_.front();
     const auto found = leaving_.find(replica);
     if (found != leaving_.end() && found->second == entry) {
@@ -60,7 +60,7 @@
     }
     by_age_.pop_front();
   }
-  if (backoffs_.size() > kRememberedBackoffs) {
+  if (backoffs_.size() > kMaxRetainedBackoffs) {
     std::erase_if(backoffs_, [now](const auto& entry) { return now >= entry.second.until; });
   }
 }
@@ -82,7 +82,8 @@
     return true;
   }
   const Backoff& backoff = found->second;
-  return now >= backoff.until && (!backoff.opening(now) || backoff.undecided < backoff.allowed);
+  return now >= backoff.until &&
+         (!backoff.isReopening(now) || backoff.pending_attempts < backoff.max_pending_attempts);
 }
 
 std::size_t ReplicaNotices::inBackoff(TimePoint now) const {
@@ -96,13 +97,13 @@
     return std::nullopt;
   }
   Backoff& backoff = found->second;
-  if (!backoff.opening(now)) {
+  if (!backoff.isReopening(now)) {
     backoffs_.erase(found);
     return std::nullopt;
   }
   const bool first = !backoff.reopened;
   backoff.reopened = backoff.reopened.value_or(now);
-  ++backoff.undecided;
+  ++backoff.pending_attempts;
   return Reopening{backoff.round, now - backoff.began, first};
 }
 
@@ -111,21 +112,21 @@
   return found == backoffs_.end() || found->second.round != round ? nullptr : &found->second;
 }
 
-void ReplicaNotices::onTaken(const ReplicaId& replica, std::uint64_t round) {
+void ReplicaNotices::onAccepted(const ReplicaId& replica, std::uint64_t round) {
   Backoff* backoff = backoffOf(replica, round);
   if (backoff == nullptr) {
     return;
   }
-  --backoff->undecided;
-  backoff->allowed *= 2;
-  if (backoff->allowed > kOpenCalls) {
+  --backoff->pending_attempts;
+  backoff->max_pending_attempts *= 2;
+  if (backoff->max_pending_attempts > kMaxReopeningCalls) {
     backoffs_.erase(replica);
   }
 }
 
-void ReplicaNotices::onNotTaken(const ReplicaId& replica, std::uint64_t round) {
+void ReplicaNotices::onNotAccepted(const ReplicaId& replica, std::uint64_t round) {
   if (Backoff* backoff = backoffOf(replica, round)) {
-    --backoff->undecided;
+    --backoff->pending_attempts;
   }
 }
 
--- a/src/calls/replica_notices.h
+++ b/src/calls/replica_notices.h
@@ -52,21 +52,22 @@
   std::optional<Reopening> onSent(const ReplicaId& replica, TimePoint now);
   /// Each attempt that was sent while reopening ends with one of these calls. Accepted: the replica runs the
   /// call. Neither has an effect if the replica has requested another backoff since.
-  void onTaken(const ReplicaId& replica, std::uint64_t round);
-  void onNotTaken(const ReplicaId& replica, std::uint64_t round);
+  void onAccepted(const ReplicaId& replica, std::uint64_t round);
+  void onNotAccepted(const ReplicaId& replica, std::uint64_t round);
 
  private:
   struct Backoff {
     TimePoint began{};
     TimePoint until{};
     std::uint64_t round = 0;
-    std::uint32_t allowed = 1;  ///< number of calls that may be in flight while the replica is being reopened
-    std::uint32_t undecided = 0;        ///< attempts of this round that are neither accepted nor refused yet
-    std::optional<TimePoint> reopened;  ///< time of the first attempt after the end of the backoff
-    bool opening(TimePoint now) const;
+    std::uint32_t max_pending_attempts =
+        1;  ///< number of calls that may be in flight while the replica is being reopened
+    std::uint32_t pending_attempts = 0;  ///< attempts of this round that are neither accepted nor refused yet
+    std::optional<TimePoint> reopened;   ///< time of the first attempt after the end of the backoff
+    bool isReopening(TimePoint now) const;
   };
 
-  void keepBounded(TimePoint now);
+  void enforceBounds(TimePoint now);
   Backoff* backoffOf(const ReplicaId& replica, std::uint64_t round);
 
   std::map<ReplicaId, Backoff> backoffs_;
--- a/src/calls/replica_table.cc
+++ b/src/calls/replica_table.cc
@@ -18,29 +18,29 @@
 /// of its batch size: with 6 routers and a batch size of 64, 6 attempts for each router.
 constexpr double kHomeSurplusShare = 0.6;
 /// Prompt tokens that are prefilled so quickly that they are ignored when comparing backlogs.
-constexpr std::uint64_t kReadAtOnce = 200;
+constexpr std::uint64_t kNegligiblePrefillTokens = 200;
 /// Calls stay in the local zone if it has at least this many candidates.
-constexpr std::ptrdiff_t kLocalChoices = 4;
+constexpr std::ptrdiff_t kMinLocalCandidates = 4;
 /// Backoff for a model that a replica reported as missing: initial value, maximum and growth factor.
-constexpr Duration kFirstMissingPause = std::chrono::milliseconds(40);
-constexpr Duration kLongestMissingPause = std::chrono::milliseconds(640);
-constexpr int kMissingPauseFactor = 4;
+constexpr Duration kMinMissingBackoff = std::chrono::milliseconds(40);
+constexpr Duration kMaxMissingBackoff = std::chrono::milliseconds(640);
+constexpr int kMissingBackoffFactor = 4;
 /// The gap estimate rises by this fraction (1/200) of the difference to a longer gap.
-constexpr int kPaceRise = 200;
+constexpr int kGapRiseDivisor = 200;
 /// A replica whose event gap is above the lowest one by more than this factor is slow. Prefill on a slow
 /// replica lengthens the gaps of all its streams, so that faster replicas are preferred.
-constexpr double kSlowPace = 1.15;
+constexpr double kSlowGapRatio = 1.15;
 /// Random spread of costs. Loads are a few hundred milliseconds old; without the spread, all routers would
 /// send their calls to the same replica meanwhile.
-constexpr double kCostSpread = 0.25;
+constexpr double kCostRandomSpread = 0.25;
 /// While a replica is being reopened after a backoff, waiting calls check it at this interval, and whenever
 /// it accepts a call.
-constexpr Duration kOpeningPause = std::chrono::milliseconds(50);
+constexpr Duration kReopeningRecheckInterval = std::chrono::milliseconds(50);
 /// Without a leader that grants credit, waiting calls check the local allowance under a replica's rate limit
 /// at this interval.
-constexpr Duration kLimitedPause = std::chrono::milliseconds(100);
+constexpr Duration kLimitRecheckInterval = std::chrono::milliseconds(100);
 /// Interval between two probes of an unreachable replica.
-constexpr Duration kProbePause = std::chrono::milliseconds(500);
+constexpr Duration kProbeInterval = std::chrono::milliseconds(500);
 
 std::uint64_t homeWeight(const Replica& replica, std::uint64_t key) {
   return stableHash(replica.routed.id.value, key);
@@ -60,17 +60,18 @@
 }
 
 /// The estimate drops to the shortest gap at once and rises slowly, since disturbances only lengthen a gap.
-void Replica::notePause(const ModelName& model, Duration pause) {
-  Duration& pace = paces[model];
-  pace = pace == Duration::zero() || pause < pace ? pause : pace + (pause - pace) / kPaceRise;
+void Replica::recordGap(const ModelName& model, Duration gap) {
+  Duration& estimate = paces[model];
+  estimate =
+      estimate == Duration::zero() || gap < estimate ? gap : estimate + (gap - estimate) / kGapRiseDivisor;
 }
 
-void Replica::noteMeanPause(const ModelName& model, Duration pause) {
-  const auto [untold, fresh] = untold_paces.try_emplace(model, pause);
-  untold->second = fresh ? pause : std::min(untold->second, pause);
+void Replica::recordMeanGap(const ModelName& model, Duration gap) {
+  const auto [unreported, inserted] = unreported_gaps.try_emplace(model, gap);
+  unreported->second = inserted ? gap : std::min(unreported->second, gap);
 }
 
-Duration Replica::paceOf(const ModelName& model) const {
+Duration Replica::gapOf(const ModelName& model) const {
   const auto found = paces.find(model);
   return found == paces.end() ? Duration::zero() : found->second;
 }
@@ -80,31 +81,31 @@
   return found == missing.end() ? TimePoint{} : found->second.until;
 }
 
-void Replica::noteMissing(const ModelName& model, const std::string& adapter, TimePoint now) {
-  MissingModel& lacked = missing[{model, adapter}];
-  lacked.pause = lacked.pause == Duration::zero()
-                     ? kFirstMissingPause
-                     : std::min(kLongestMissingPause, lacked.pause * kMissingPauseFactor);
-  lacked.until = now + lacked.pause;
+void Replica::recordMissing(const ModelName& model, const std::string& adapter, TimePoint now) {
+  MissingModel& missing_model = missing[{model, adapter}];
+  missing_model.backoff = missing_model.backoff == Duration::zero()
+                              ? kMinMissingBackoff
+                              : std::min(kMaxMissingBackoff, missing_model.backoff * kMissingBackoffFactor);
+  missing_model.until = now + missing_model.backoff;
 }
 
 void ReplicaTable::apply(const wire::ServiceUpdate& update, TimePoint now) {
-  std::set<ReplicaId> named;
+  std::set<ReplicaId> listed_ids;
   for (const wire::RoutedReplica& routed : update.replicas) {
-    if (!followLife(routed.id)) {
+    if (!followIncarnation(routed.id)) {
       continue;
     }
-    const auto [place, fresh] = replicas_.try_emplace(routed.id);
-    Replica& replica = place->second;
-    if (!fresh && !replica.routed.accepting && routed.accepting) {
+    const auto [entry, inserted] = replicas_.try_emplace(routed.id);
+    Replica& replica = entry->second;
+    if (!inserted && !replica.routed.accepting && routed.accepting) {
       notices_.reopen(routed.id, now);
     }
-    const bool same = !fresh && lists_part_ && replica.routed == routed;
-    if (fresh || replica.routed.slow_start_ms != routed.slow_start_ms) {
+    const bool same = !inserted && subscribed_ && replica.routed == routed;
+    if (inserted || replica.routed.slow_start_ms != routed.slow_start_ms) {
       replica.slow_until = now + std::chrono::milliseconds(routed.slow_start_ms);
     }
     if (routed.limit_ended && !replica.routed.limit_ended) {
-      limits_.onToldEnd(routed.id);
+      limits_.onLeaderLimitEnd(routed.id);
     }
     replica.routed = routed;
     replica.load_key = balance::loadKey(routed.id.value);
@@ -113,15 +114,15 @@
     }
     replica.listed = true;
     if (routed.calls_per_second) {
-      limits_.onTold(routed.id, *routed.calls_per_second, now);
+      limits_.onLeaderLimit(routed.id, *routed.calls_per_second, now);
     }
     by_service_[routed.service].insert(routed.id);
-    named.insert(routed.id);
+    listed_ids.insert(routed.id);
   }
   std::vector<ReplicaId> gone = update.removed;
   if (update.base == LogIndex{} && update.complete) {
     for (const auto& [id, replica] : replicas_) {
-      if (!named.contains(id)) {
+      if (!listed_ids.contains(id)) {
         gone.push_back(id);
       }
     }
@@ -132,23 +133,23 @@
 }
 
 /// A new leader may list the current incarnation long before it knows that the previous one has ended.
-bool ReplicaTable::followLife(const ReplicaId& id) {
+bool ReplicaTable::followIncarnation(const ReplicaId& id) {
   const std::uint64_t born = wire::replicaBorn(id);
   if (born == 0) {
     return true;
   }
   const std::string name = wire::replicaName(id);
-  const auto known = lives_.find(name);
-  if (known != lives_.end() && wire::replicaBorn(known->second) > born) {
+  const auto known = incarnations_.find(name);
+  if (known != incarnations_.end() && wire::replicaBorn(known->second) > born) {
     return false;
   }
-  if (known != lives_.end() && known->second != id) {
+  if (known != incarnations_.end() && known->second != id) {
     const ReplicaId former = known->second;
     unlist(former);
     notices_.forget(former);
     limits_.forget(former);
   }
-  lives_[name] = id;
+  incarnations_[name] = id;
   return true;
 }
 
@@ -158,9 +159,9 @@
     return;
   }
   found->second.listed = false;
-  const auto life = lives_.find(wire::replicaName(id));
-  if (life != lives_.end() && life->second == id) {
-    lives_.erase(life);
+  const auto incarnation = incarnations_.find(wire::replicaName(id));
+  if (incarnation != incarnations_.end() && incarnation->second == id) {
+    incarnations_.erase(incarnation);
   }
   by_service_[found->second.routed.service].erase(id);
   if (found->second.outstanding == 0) {
@@ -174,10 +175,10 @@
 }
 
 /// Keeps the matching options, or all of them if none matches.
-void ReplicaTable::keepIf(Options& options, const std::function<bool(const Replica&)>& wanted) {
+void ReplicaTable::keepIf(Options& options, const std::function<bool(const Replica&)>& matches) {
   Options kept;
   std::copy_if(options.begin(), options.end(), std::back_inserter(kept),
-               [&wanted](const Replica* option) { return wanted(*option); });
+               [&matches](const Replica* option) { return matches(*option); });
   if (!kept.empty()) {
     options = std::move(kept);
   }
@@ -186,10 +187,10 @@
 Choice ReplicaTable::choose(const ReplicaNeed& need, TimePoint now) {
   Options options;
   Choice none;
-  none.failure = lists_part_ && !need.model.empty() ? ChoiceFailure::NotHeld : ChoiceFailure::NoReplica;
-  const auto leaveOut = [&none](ChoiceFailure failure, TimePoint until) {
+  none.failure = subscribed_ && !need.model.empty() ? ChoiceFailure::NotHeld : ChoiceFailure::NoReplica;
+  const auto exclude = [&none](ChoiceFailure failure, TimePoint until) {
     none.failure = std::max(none.failure, failure);
-    none.look_again = std::min(none.look_again.value_or(until), until);
+    none.recheck_at = std::min(none.recheck_at.value_or(until), until);
   };
   for (const ReplicaId& id : by_service_[need.service]) {
     Replica& replica = replicas_.at(id);
@@ -201,18 +202,18 @@
     if (!replica.holds(need.model, need.adapter)) {
       none.failure = std::max(none.failure, ChoiceFailure::NotHeld);
     } else if (replica.unreachable(now)) {
-      leaveOut(need.model.empty() ? ChoiceFailure::NoReplica : ChoiceFailure::NotHeld, *replica.probe_at);
+      exclude(need.model.empty() ? ChoiceFailure::NoReplica : ChoiceFailure::NotHeld, *replica.probe_at);
     } else if (now < missing_until) {
-      leaveOut(ChoiceFailure::NotHeld, missing_until);
+      exclude(ChoiceFailure::NotHeld, missing_until);
     } else if (const auto closed_until = notices_.closedUntil(id, now)) {
-      leaveOut(ChoiceFailure::Backoff, *closed_until);
+      exclude(ChoiceFailure::Backoff, *closed_until);
       none.opens_at = std::min(none.opens_at.value_or(*closed_until), *closed_until);
     } else if (now < replica.refused_until) {
-      leaveOut(ChoiceFailure::Refusing, replica.refused_until);
+      exclude(ChoiceFailure::Refusing, replica.refused_until);
     } else if (!notices_.admits(id, now)) {
-      leaveOut(ChoiceFailure::Refusing, now + kOpeningPause);
+      exclude(ChoiceFailure::Refusing, now + kReopeningRecheckInterval);
     } else if (need.credit != id && !limits_.admits(id, now)) {
-      leaveOut(ChoiceFailure::Limited, now + kLimitedPause);
+      exclude(ChoiceFailure::Limited, now + kLimitRecheckInterval);
       none.limited.push_back(id);
     } else {
       options.push_back(&replica);
@@ -233,7 +234,7 @@
   ++turn_;
   if (!need.model.empty() && board_.isFresh(now) && isUneven(options)) {
     Replica* replica = cheapest(options, need);
-    return {replica, ChoiceFailure::None, fleetUse(*replica), {}, {}, std::move(none.limited)};
+    return {replica, ChoiceFailure::None, fleetLoad(*replica), {}, {}, std::move(none.limited)};
   }
   return {leastLoaded(options, need), ChoiceFailure::None, {}, {}, {}, std::move(none.limited)};
 }
@@ -281,17 +282,17 @@
 }
 
 /// Keeps replicas whose event gap isn't much above the lowest one. Replicas without an estimate are kept.
-void ReplicaTable::keepFast(Options& options, const ModelName& model) {
+void ReplicaTable::keepSmallGaps(Options& options, const ModelName& model) {
   Duration best = Duration::max();
   for (const Replica* option : options) {
-    const Duration pace = option->paceOf(model);
-    best = pace > Duration::zero() ? std::min(best, pace) : best;
+    const Duration estimate = option->gapOf(model);
+    best = estimate > Duration::zero() ? std::min(best, estimate) : best;
   }
   if (best == Duration::max()) {
     return;
   }
-  const auto slow = static_cast<Duration::rep>(static_cast<double>(best.count()) * kSlowPace);
-  keepIf(options, [&](const Replica& option) { return option.paceOf(model).count() <= slow; });
+  const auto slow = static_cast<Duration::rep>(static_cast<double>(best.count()) * kSlowGapRatio);
+  keepIf(options, [&](const Replica& option) { return option.gapOf(model).count() <= slow; });
 }
 
 /// A router sees only its own attempts. With many routers and small engines, its share of the permitted
@@ -307,11 +308,13 @@
   for (const Replica* option : options) {
     least_unread = std::min(least_unread, option->unread_tokens);
   }
-  keepIf(options, [&](const Replica& option) { return option.unread_tokens <= least_unread + kReadAtOnce; });
-  keepFast(options, need.model);
+  keepIf(options, [&](const Replica& option) {
+    return option.unread_tokens <= least_unread + kNegligiblePrefillTokens;
+  });
+  keepSmallGaps(options, need.model);
   const auto local = std::count_if(options.begin(), options.end(),
                                    [this](const Replica* option) { return option->routed.zone == zone_; });
-  if (local >= kLocalChoices) {
+  if (local >= kMinLocalCandidates) {
     keepIf(options, [this](const Replica& option) { return option.routed.zone == zone_; });
   }
   std::uint32_t least = std::numeric_limits<std::uint32_t>::max();
@@ -323,7 +326,7 @@
     const bool home_allowed = need.affinity_key != 0 && replica.outstanding <= least + surplus;
     // A home that is specific to this router spreads the calls of all routers and still reuses kept
     // connections.
-    const std::uint64_t key = surplus > 0 ? need.affinity_key : need.affinity_key ^ own_homes_;
+    const std::uint64_t key = surplus > 0 ? need.affinity_key : need.affinity_key ^ local_home_salt_;
     const std::uint64_t home = home_allowed ? homeWeight(replica, key) : 0;
     const bool other_zone = replica.routed.zone != zone_;
     return std::make_tuple(~home, replica.outstanding, other_zone, homeWeight(replica, turn_));
@@ -339,7 +342,7 @@
          });
 }
 
-balance::FleetUse ReplicaTable::fleetUse(const Replica& replica) const {
+balance::FleetUse ReplicaTable::fleetLoad(const Replica& replica) const {
   return board_.estimateLoad(replica.load_key, {replica.outstanding, replica.unread_tokens});
 }
 
@@ -352,14 +355,14 @@
         });
   }
   const balance::CallShape call{static_cast<double>(need.prompt_tokens),
-                                static_cast<double>(need.shared_tokens), toSeconds(need.stream_time)};
+                                static_cast<double>(need.shared_tokens), toSeconds(need.stream_duration)};
   Replica* best = nullptr;
   double least = 0;
   for (Replica* option : options) {
-    const balance::CallCandidate candidate{fleetUse(*option), option == home, option->routed.zone != zone_};
+    const balance::CallCandidate candidate{fleetLoad(*option), option == home, option->routed.zone != zone_};
     const double drawn = static_cast<double>(homeWeight(*option, turn_)) /
                          static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    const double cost = balance::callCost(call, candidate) * (1 + kCostSpread * drawn);
+    const double cost = balance::callCost(call, candidate) * (1 + kCostRandomSpread * drawn);
     if (best == nullptr || cost < least) {
       best = option;
       least = cost;
@@ -368,7 +371,7 @@
   return best;
 }
 
-std::vector<wire::ReplicaUse> ReplicaTable::takeUses() {
+std::vector<wire::ReplicaUse> ReplicaTable::takeLocalLoads() {
   std::vector<wire::ReplicaUse> uses;
   for (auto& [id, replica] : replicas_) {
     const std::uint64_t sent = std::exchange(replica.sent_tokens, 0);
@@ -381,11 +384,11 @@
   return uses;
 }
 
-std::vector<wire::ObservedPace> ReplicaTable::takePaces() {
+std::vector<wire::ObservedPace> ReplicaTable::takeEventGaps() {
   std::vector<wire::ObservedPace> paces;
   for (auto& [id, replica] : replicas_) {
-    for (const auto& [model, pause] : std::exchange(replica.untold_paces, {})) {
-      const auto microseconds = std::chrono::duration_cast<std::chrono::microseconds>(pause).count();
+    for (const auto& [model, gap] : std::exchange(replica.unreported_gaps, {})) {
+      const auto microseconds = std::chrono::duration_cast<std::chrono::microseconds>(gap).count();
       paces.push_back(
           {replica.load_key, balance::loadKey(model.value), static_cast<std::uint32_t>(microseconds)});
     }
@@ -396,14 +399,14 @@
 std::optional<ReplicaNotices::Reopening> ReplicaTable::onSent(Replica& replica, TimePoint now) {
   ++replica.outstanding;
   if (replica.probe_at) {
-    replica.probe_at = now + kProbePause;
+    replica.probe_at = now + kProbeInterval;
   }
   replica.health.onDispatched(now);
   return notices_.onSent(replica.routed.id, now);
 }
 
 void ReplicaTable::onUnreachable(Replica& replica, TimePoint now) {
-  replica.probe_at = now + kProbePause;
+  replica.probe_at = now + kProbeInterval;
 }
 
 bool ReplicaTable::onProgress(Replica& replica, TimePoint now) {
--- a/src/calls/replica_table.h
+++ b/src/calls/replica_table.h
@@ -23,7 +23,7 @@
 /// Backoff for a model that a replica reported as missing.
 struct MissingModel {
   TimePoint until{};
-  Duration pause{};
+  Duration backoff{};
 };
 
 /// A replica, with the state that this router keeps for it.
@@ -39,7 +39,7 @@
   /// Estimated undisturbed gap between two events of a stream, by model.
   std::map<ModelName, Duration> paces;
   /// Shortest mean gap within a stream since the last report to the leader, by model.
-  std::map<ModelName, Duration> untold_paces;
+  std::map<ModelName, Duration> unreported_gaps;
   std::uint32_t load_key = 0;  ///< balance::loadKey() of its ID
   /// Set after a failed connection. The replica gets no calls until then; after that, one call probes it.
   std::optional<TimePoint> probe_at;
@@ -49,17 +49,17 @@
 
   bool unreachable(TimePoint now) const { return probe_at && now < *probe_at; }
   bool holds(const ModelName& model, const std::string& adapter) const;
-  void notePause(const ModelName& model, Duration pause);
+  void recordGap(const ModelName& model, Duration gap);
   /// Records the mean gap over several events. Single gaps are unreliable, since events may be read together.
-  void noteMeanPause(const ModelName& model, Duration pause);
+  void recordMeanGap(const ModelName& model, Duration gap);
   /// Returns the estimated gap; zero: unknown.
-  Duration paceOf(const ModelName& model) const;
+  Duration gapOf(const ModelName& model) const;
   /// Time at which the replica may get calls for the model again; in the past if the model wasn't reported as
   /// missing.
   TimePoint missingUntil(const ModelName& model, const std::string& adapter) const;
   /// Starts or extends the backoff. The replica may be about to load the model, so it is retried soon, then
   /// at increasing intervals until the table changes.
-  void noteMissing(const ModelName& model, const std::string& adapter, TimePoint now);
+  void recordMissing(const ModelName& model, const std::string& adapter, TimePoint now);
 };
 
 /// Requirements of a call on its replica.
@@ -70,7 +70,7 @@
   std::uint64_t affinity_key = 0;
   std::uint64_t prompt_tokens = 0;
   std::uint64_t shared_tokens = 0;  ///< tokens in prompt parts that other calls share
-  Duration stream_time{};           ///< mean duration of streams on the call's route; zero: unknown
+  Duration stream_duration{};       ///< mean duration of streams on the call's route; zero: unknown
   std::set<ReplicaId> tried;        ///< used again only if no other replica is left
   /// Replica with a rate limit for which the call holds a credit that may be used now.
   std::optional<ReplicaId> credit;
@@ -92,7 +92,7 @@
   Replica* replica = nullptr;
   ChoiceFailure failure = ChoiceFailure::None;
   std::optional<balance::FleetUse> use;  ///< load of the replica, if the choice was based on it
-  std::optional<TimePoint> look_again;   ///< earliest time at which an excluded replica may be tried
+  std::optional<TimePoint> recheck_at;   ///< earliest time at which an excluded replica may be tried
   std::optional<TimePoint> opens_at;     ///< earliest end of a backoff among the excluded replicas
   std::vector<ReplicaId> limited;        ///< replicas excluded only because the call has no credit
 };
@@ -104,14 +104,14 @@
   /// Equally loaded replicas are chosen in an order that differs between routers and changes from call to
   /// call.
   ReplicaTable(ZoneName zone, std::uint64_t seed, const ReplicaLimitsSettings& limits = {})
-      : zone_(std::move(zone)), own_homes_(seed), limits_(limits), turn_(seed) {}
+      : zone_(std::move(zone)), local_home_salt_(seed), limits_(limits), turn_(seed) {}
 
   /// Applies the replicas of an update. A replica that accepts calls again after it was closed is reopened
   /// step by step.
   void apply(const wire::ServiceUpdate& update, TimePoint now);
-  /// part: the table lists only replicas that this router subscribes to, so that an unlisted replica may hold
-  /// a model that none of the listed ones holds.
-  void listPart(bool part) { lists_part_ = part; }
+  /// subscribed: the table lists only replicas that this router subscribes to, so that an unlisted replica
+  /// may hold a model that none of the listed ones holds.
+  void setSubscribed(bool subscribed) { subscribed_ = subscribed; }
   Replica* find(const ReplicaId& id);
   /// Chooses the replica for a call: healthy, not tried yet and least loaded. Calls with the same affinity
   /// key share a home replica unless it is much busier than the others. An ejected replica is used only if
@@ -139,8 +139,8 @@
   void acceptLoads(const std::vector<wire::ReplicaLoad>& loads, TimePoint now) { board_.accept(loads, now); }
   const balance::LoadBoard& loadBoard() const { return board_; }
   /// Return the loads and event gaps since the last call, for the status to the leader.
-  std::vector<wire::ReplicaUse> takeUses();
-  std::vector<wire::ObservedPace> takePaces();
+  std::vector<wire::ReplicaUse> takeLocalLoads();
+  std::vector<wire::ObservedPace> takeEventGaps();
 
   /// Records an attempt; see ReplicaNotices::onSent().
   std::optional<ReplicaNotices::Reopening> onSent(Replica& replica, TimePoint now);
@@ -153,8 +153,8 @@
  private:
   using Options = std::vector<Replica*>;
 
-  static void keepIf(Options& options, const std::function<bool(const Replica&)>& wanted);
-  static void keepFast(Options& options, const ModelName& model);
+  static void keepIf(Options& options, const std::function<bool(const Replica&)>& matches);
+  static void keepSmallGaps(Options& options, const ModelName& model);
   /// True if the replica accepts calls with these requirements, apart from backoffs and rate limits.
   bool serves(const Replica& replica, const ReplicaNeed& need, TimePoint now) const;
   std::uint32_t homeSurplus(const Replica& replica) const;
@@ -164,18 +164,19 @@
   bool isUneven(const Options& options) const;
   /// Returns the replica with the lowest balance::callCost(), based on the load of all routers.
   Replica* cheapest(const Options& options, const ReplicaNeed& need) const;
-  balance::FleetUse fleetUse(const Replica& replica) const;
+  balance::FleetUse fleetLoad(const Replica& replica) const;
   void unlist(const ReplicaId& id);
   /// Unlists the previous incarnation of the replica. Returns false if a later one is listed.
-  bool followLife(const ReplicaId& id);
+  bool followIncarnation(const ReplicaId& id);
 
   ZoneName zone_;
   std::map<ReplicaId, Replica> replicas_;
   std::map<ServiceName, std::set<ReplicaId>> by_service_;
-  std::map<std::string, ReplicaId> lives_;  ///< latest incarnation by the name that the replica gives itself
-  std::uint64_t own_homes_;  ///< salt of the affinity homes, used where routers don't share homes
+  std::map<std::string, ReplicaId>
+      incarnations_;               ///< latest incarnation by the name that the replica gives itself
+  std::uint64_t local_home_salt_;  ///< salt of the affinity homes, used where routers don't share homes
   std::uint32_t routers_ = 1;
-  bool lists_part_ = false;
+  bool subscribed_ = false;
   balance::LoadBoard board_;
   ReplicaNotices notices_;
   ReplicaLimits limits_;
--- a/src/calls/retry_budget.cc
+++ b/src/calls/retry_budget.cc
@@ -5,7 +5,7 @@
 
 /// Safety factor: the windows of different routers, and of observers that count retries, don't start at the
 /// same time.
-constexpr double kSafety = 0.7;
+constexpr double kSafetyFactor = 0.7;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   drop(window.calls, now);
   drop(window.retries, now);
   const double own_share = settings_.share * static_cast<double>(window.calls.size());
-  const double allowed = kSafety * (own_share + settings_.slack / routers_);
+  const double allowed = kSafetyFactor * (own_share + settings_.slack / routers_);
   if (static_cast<double>(window.retries.size()) + 1 > allowed) {
     return false;
   }
--- a/tests/calls/control_feed_test.cc
+++ b/tests/calls/control_feed_test.cc
@@ -48,7 +48,7 @@
       update.base = update.revision;
       update.table = 5;
       update.status_interval_ms = toMilliseconds(leader_interval);
-      if (!feed.holdsPart()) {
+      if (!feed.holdsSubscribedTable()) {
         update.base = LogIndex{};
       }
       feed.accept(member, update, now);
--- a/tests/calls/parts_test.cc
+++ b/tests/calls/parts_test.cc
@@ -127,7 +127,7 @@
   const auto first = table.onSent(replica, back);
   REQUIRE(first.has_value());
   CHECK(table.choose(need("desk"), back).replica == nullptr);
-  table.notices().onTaken(ReplicaId("r1"), first->round);
+  table.notices().onAccepted(ReplicaId("r1"), first->round);
   CHECK(table.choose(need("desk"), back).replica == &replica);
   table.onSent(replica, back);
   CHECK(table.choose(need("desk"), back).replica == &replica);
@@ -164,14 +164,14 @@
     return table.find(update.replicas[0].id);
   };
   Replica* former = list(1000);
-  former->noteMissing(ModelName("m"), {}, kStart);
-  former->notePause(ModelName("m"), 700ms);
+  former->recordMissing(ModelName("m"), {}, kStart);
+  former->recordGap(ModelName("m"), 700ms);
   table.onSent(*former, kStart);
   Replica* present = list(2000);
   REQUIRE(present != nullptr);
   CHECK(present->outstanding == 0);
   CHECK(present->missing.empty());
-  CHECK(present->paceOf(ModelName("m")) == Duration::zero());
+  CHECK(present->gapOf(ModelName("m")) == Duration::zero());
   ReplicaNeed wanted = need("desk");
   wanted.model = ModelName("m");
   CHECK(table.choose(wanted, kStart).replica == present);
--- a/tests/calls/replica_limits_test.cc
+++ b/tests/calls/replica_limits_test.cc
@@ -16,37 +16,37 @@
 
 TEST_CASE("A limit ends only if a call that was sent after it was stated gets a response without one") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
-  CHECK(limits.name(kReplica, 1.2, kNow - 1s, kNow) == Change::Named);
-  CHECK(limits.end(kReplica, kNow - 10ms) == Change::None);
+  CHECK(limits.recordLimit(kReplica, 1.2, kNow - 1s, kNow) == Change::Added);
+  CHECK(limits.recordNoLimit(kReplica, kNow - 10ms) == Change::None);
   CHECK(limits.isLimited(kReplica));
-  CHECK(limits.end(kReplica, kNow + 10ms) == Change::Ended);
+  CHECK(limits.recordNoLimit(kReplica, kNow + 10ms) == Change::Ended);
   CHECK_FALSE(limits.isLimited(kReplica));
-  CHECK(limits.end(kReplica, kNow + 20ms) == Change::None);
+  CHECK(limits.recordNoLimit(kReplica, kNow + 20ms) == Change::None);
 }
 
 TEST_CASE("Of two limits in unknown order the lower applies, otherwise the later") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
-  limits.name(kReplica, 2, kNow - 1s, kNow);
-  CHECK(limits.name(kReplica, 5, kNow - 1s, kNow + 1ms) == Change::None);
+  limits.recordLimit(kReplica, 2, kNow - 1s, kNow);
+  CHECK(limits.recordLimit(kReplica, 5, kNow - 1s, kNow + 1ms) == Change::None);
   CHECK(limits.limitOf(kReplica) == 2.0);
-  CHECK(limits.name(kReplica, 1, std::nullopt, kNow + 2ms) == Change::Changed);
+  CHECK(limits.recordLimit(kReplica, 1, std::nullopt, kNow + 2ms) == Change::Changed);
   CHECK(limits.limitOf(kReplica) == 1.0);
-  CHECK(limits.name(kReplica, 5, kNow + 3ms, kNow + 10ms) == Change::Changed);
+  CHECK(limits.recordLimit(kReplica, 5, kNow + 3ms, kNow + 10ms) == Change::Changed);
   CHECK(limits.limitOf(kReplica) == 5.0);
 }
 
 TEST_CASE("A raised limit is accepted while responses to earlier calls keep arriving") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
-  limits.name(kReplica, 1, kNow - 100ms, kNow);
+  limits.recordLimit(kReplica, 1, kNow - 100ms, kNow);
   for (Duration passed = 10ms; passed <= 300ms; passed += 10ms) {
-    limits.name(kReplica, 5, kNow + passed - 100ms, kNow + passed);
+    limits.recordLimit(kReplica, 5, kNow + passed - 100ms, kNow + passed);
   }
   CHECK(limits.limitOf(kReplica) == 5.0);
 }
 
 TEST_CASE("A limit of 0 is a valid limit") {
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
-  CHECK(limits.name(kReplica, 0, std::nullopt, kNow) == Change::Named);
+  CHECK(limits.recordLimit(kReplica, 0, std::nullopt, kNow) == Change::Added);
   CHECK(limits.limitOf(kReplica) == 0.0);
 }
 
@@ -54,7 +54,7 @@
   ReplicaLimits limits({NodeName("edge-1"), 7, 3});
   constexpr int kNamed = 5000;
   for (int i = 0; i < kNamed; ++i) {
-    limits.name(ReplicaId("r" + std::to_string(i)), 1, std::nullopt, kNow + i * 1ms);
+    limits.recordLimit(ReplicaId("r" + std::to_string(i)), 1, std::nullopt, kNow + i * 1ms);
   }
   CHECK(limits.size() < kNamed);
   CHECK(limits.isLimited(ReplicaId("r" + std::to_string(kNamed - 1))));
@@ -74,9 +74,9 @@
 TEST_CASE("A call to a replica with a limit needs a credit, which is requested from the leader at once") {
   LimitsFixture fixture;
   CHECK(fixture.limits.admits(kReplica, fixture.now));
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
   CHECK_FALSE(fixture.limits.admits(kReplica, fixture.now));
-  const auto ask = fixture.limits.ask(kReplica, 300ms, fixture.now);
+  const auto ask = fixture.limits.requestCredit(kReplica, 300ms, fixture.now);
   REQUIRE(ask);
   const auto request = fixture.limits.message(fixture.now);
   REQUIRE(request);
@@ -93,8 +93,8 @@
 
 TEST_CASE("A credit for a call that has ended is returned, and replies to another incarnation are ignored") {
   LimitsFixture fixture;
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
-  const auto ask = fixture.limits.ask(kReplica, 0s, fixture.now);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
+  const auto ask = fixture.limits.requestCredit(kReplica, 0s, fixture.now);
   fixture.limits.message(fixture.now);
   fixture.limits.abandon(*ask);
   CHECK(fixture.limits.accept({8, {fixture.decision(*ask, true, 0)}}, fixture.now).empty());
@@ -105,25 +105,25 @@
 
 TEST_CASE("A credit request without a reply ends within a quarter of a second") {
   LimitsFixture fixture;
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
-  const auto ask = fixture.limits.ask(kReplica, 1s, fixture.now);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
+  const auto ask = fixture.limits.requestCredit(kReplica, 1s, fixture.now);
   fixture.limits.message(fixture.now);
   CHECK(fixture.limits.nextDeadline() == fixture.now + 250ms);
   CHECK(fixture.limits.tick(fixture.now + 249ms).empty());
   const auto resolved = fixture.limits.tick(fixture.now + 250ms);
   REQUIRE(resolved.size() == 1);
-  CHECK(resolved.front().ask == *ask);
+  CHECK(resolved.front().request_number == *ask);
   CHECK(resolved.front().verdict == LimitResolved::Verdict::Unanswered);
 }
 
 TEST_CASE("A leader that knows no limit ends it, unless it was stated again after the request") {
   LimitsFixture fixture;
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
-  const auto first = fixture.limits.ask(kReplica, 0s, fixture.now);
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now + 1ms);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
+  const auto first = fixture.limits.requestCredit(kReplica, 0s, fixture.now);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now + 1ms);
   fixture.limits.accept({7, {fixture.decision(*first, true, 0, true)}}, fixture.now + 5ms);
   CHECK(fixture.limits.isLimited(kReplica));
-  const auto second = fixture.limits.ask(kReplica, 0s, fixture.now + 6ms);
+  const auto second = fixture.limits.requestCredit(kReplica, 0s, fixture.now + 6ms);
   fixture.limits.accept({7, {fixture.decision(*second, true, 0, true)}}, fixture.now + 9ms);
   CHECK_FALSE(fixture.limits.isLimited(kReplica));
 }
@@ -131,9 +131,9 @@
 TEST_CASE("A leader whose build doesn't grant credit gets no limit messages") {
   LimitsFixture fixture;
   fixture.limits.onLeader(false, 9, fixture.now);
-  fixture.limits.name(kReplica, 1, std::nullopt, fixture.now);
-  CHECK_FALSE(fixture.limits.ask(kReplica, 1s, fixture.now));
-  fixture.limits.askSpare(kReplica, fixture.now + 60s);
+  fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
+  CHECK_FALSE(fixture.limits.requestCredit(kReplica, 1s, fixture.now));
+  fixture.limits.requestSpareCredit(kReplica, fixture.now + 60s);
   CHECK_FALSE(fixture.limits.message(fixture.now));
 }
 
@@ -147,7 +147,7 @@
   for (int i = 0; i < routers; ++i) {
     fleet.emplace_back(ReplicaLimitsSettings{NodeName("edge"), 1, static_cast<std::uint64_t>(i + 1)});
     fleet.back().onLeader(grants, static_cast<std::uint32_t>(routers), kNow);
-    fleet.back().name(kReplica, per_second, std::nullopt, kNow);
+    fleet.back().recordLimit(kReplica, per_second, std::nullopt, kNow);
   }
   constexpr Duration kTime = 8s;
   std::map<std::int64_t, int> sent;  // by second
--- a/tests/calls/replica_notices_test.cc
+++ b/tests/calls/replica_notices_test.cc
@@ -74,14 +74,14 @@
     return sent;
   };
   CHECK(sendable() == 1);
-  notices.onTaken(kReplica, round);
+  notices.onAccepted(kReplica, round);
   CHECK(sendable() == 2);
-  notices.onNotTaken(kReplica, round);
+  notices.onNotAccepted(kReplica, round);
   CHECK(sendable() == 1);
-  notices.onTaken(kReplica, round);
+  notices.onAccepted(kReplica, round);
   CHECK(sendable() == 3);
-  notices.onTaken(kReplica, round);
-  notices.onTaken(kReplica, round);
+  notices.onAccepted(kReplica, round);
+  notices.onAccepted(kReplica, round);
   CHECK(sendable() == 100);
 }
 
@@ -110,10 +110,10 @@
   ReplicaNotices notices;
   notices.accept(kReplica, wanting(1s), kStart);
   const std::uint64_t round = notices.onSent(kReplica, kStart + 1s)->round;
-  notices.onTaken(kReplica, round);
+  notices.onAccepted(kReplica, round);
   notices.onSent(kReplica, kStart + 1s);
   notices.accept(kReplica, wanting(1s), kStart + 1100ms);
-  notices.onTaken(kReplica, round);
+  notices.onAccepted(kReplica, round);
   CHECK_FALSE(notices.admits(kReplica, kStart + 2000ms));
   CHECK(notices.admits(kReplica, kStart + 2100ms));
   notices.onSent(kReplica, kStart + 2100ms);
@@ -148,10 +148,10 @@
         const auto reopening = notices.onSent(kReplica, now);
         undecided.push_back(reopening ? reopening->round : 0);
       } else if (action == 3 && !undecided.empty()) {
-        notices.onTaken(kReplica, undecided.back());
+        notices.onAccepted(kReplica, undecided.back());
         undecided.pop_back();
       } else if (action == 4 && !undecided.empty()) {
-        notices.onNotTaken(kReplica, undecided.back());
+        notices.onNotAccepted(kReplica, undecided.back());
         undecided.pop_back();
       }
       RC_ASSERT(now >= closed_until || !notices.admits(kReplica, now));
--- a/tests/calls/wait_policy_test.cc
+++ b/tests/calls/wait_policy_test.cc
@@ -14,22 +14,22 @@
 constexpr TimePoint kArrived{1000s};
 
 /// A call with a target latency of 1 s and a time limit of 20 s that no replica has received.
-WaitingCall untouched() {
+WaitingCall notStartedCall() {
   return {kArrived, kArrived + 20s, 1s, std::nullopt, true};
 }
 
 TEST_CASE("A call waits for a model within a share of its time limit and of its caller's idle timeout") {
-  WaitingCall call = untouched();
+  WaitingCall call = notStartedCall();
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived) == kArrived + 9400ms);
-  call.patience = 4s;
+  call.caller_idle_timeout = 4s;
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived) == kArrived + 3400ms);
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived + 5s) == kArrived + 5s);
 }
 
 TEST_CASE("A call waits for a free slot only as long as it may be in time elsewhere") {
-  CHECK(waitLimit(untouched(), ChoiceFailure::Refusing, kArrived) == kArrived + 220ms);
-  CHECK(waitLimit(untouched(), ChoiceFailure::NoReplica, kArrived) == kArrived + 220ms);
-  WaitingCall call = untouched();
+  CHECK(waitLimit(notStartedCall(), ChoiceFailure::Refusing, kArrived) == kArrived + 220ms);
+  CHECK(waitLimit(notStartedCall(), ChoiceFailure::NoReplica, kArrived) == kArrived + 220ms);
+  WaitingCall call = notStartedCall();
   call.deadline = kArrived + 100ms;
   CHECK(waitLimit(call, ChoiceFailure::NoReplica, kArrived) == kArrived + 100ms);
 }
@@ -38,7 +38,7 @@
   const char* name;
   Duration ready;
   Duration now;
-  bool untouched;
+  bool not_started;
   bool away;
 };
 
@@ -53,9 +53,9 @@
   };
   for (const AbsenceCase& given : cases) {
     INFO(given.name);
-    WaitingCall call = untouched();
-    call.untouched = given.untouched;
-    const auto absence = comeBackAfter(call, kArrived + given.ready, kArrived + given.now);
+    WaitingCall call = notStartedCall();
+    call.not_started = given.not_started;
+    const auto absence = retryDelayForLateModel(call, kArrived + given.ready, kArrived + given.now);
     CHECK(absence.has_value() == given.away);
     if (absence) {
       CHECK(*absence > given.ready - given.now);
@@ -65,15 +65,15 @@
 }
 
 TEST_CASE("A call whose model is ready after the permitted wait is refused as soon as that is known") {
-  const WaitingCall call = untouched();  // the permitted wait is 9.4 s
-  CHECK_FALSE(refusedUntil(call, kArrived + 9s, kArrived).has_value());
-  const auto early = refusedUntil(call, kArrived + 30s, kArrived);
+  const WaitingCall call = notStartedCall();  // the permitted wait is 9.4 s
+  CHECK_FALSE(retryDelayIfUnservable(call, kArrived + 9s, kArrived).has_value());
+  const auto early = retryDelayIfUnservable(call, kArrived + 30s, kArrived);
   REQUIRE(early.has_value());
   CHECK(*early >= 30s);
-  CHECK(refusedUntil(call, kArrived + 12s, kArrived + 5s).has_value());
+  CHECK(retryDelayIfUnservable(call, kArrived + 12s, kArrived + 5s).has_value());
   WaitingCall started = call;
-  started.untouched = false;
-  CHECK_FALSE(refusedUntil(started, kArrived + 30s, kArrived).has_value());
+  started.not_started = false;
+  CHECK_FALSE(retryDelayIfUnservable(started, kArrived + 30s, kArrived).has_value());
 }
 
 TEST_CASE("A call that can't be served isn't held, and its model stays in demand until the retry") {
@@ -105,11 +105,11 @@
   CHECK(loads.readyAt(service, model, kArrived + 1s) == kArrived + 2s);
   CHECK_FALSE(loads.readyAt(service, model, kArrived + 2s).has_value());
   CHECK_FALSE(loads.readyAt(service, ModelName("m2"), kArrived).has_value());
-  loads.expectBack(service, model, kArrived + 2s);
-  loads.expectBack(service, model, kArrived + 3s);
-  CHECK(loads.expectedBack(kArrived + 2500ms).at({service, model}) == 2);
-  CHECK(loads.expectedBack(kArrived + 3s).at({service, model}) == 1);
-  CHECK(loads.expectedBack(kArrived + 4s).empty());
+  loads.addReturningCaller(service, model, kArrived + 2s);
+  loads.addReturningCaller(service, model, kArrived + 3s);
+  CHECK(loads.returningCallers(kArrived + 2500ms).at({service, model}) == 2);
+  CHECK(loads.returningCallers(kArrived + 3s).at({service, model}) == 1);
+  CHECK(loads.returningCallers(kArrived + 4s).empty());
 }
 
 TEST_CASE("A call whose model is being loaded is refused at once with a retry time and stays in demand") {
@@ -146,8 +146,8 @@
   Replica& fast = *table.find(ReplicaId("fast"));
   Replica& slow = *table.find(ReplicaId("slow"));
   for (int i = 0; i < 5; ++i) {
-    fast.notePause(ModelName("m1"), i == 2 ? 140ms : 20ms);
-    slow.notePause(ModelName("m1"), 27ms);
+    fast.recordGap(ModelName("m1"), i == 2 ? 140ms : 20ms);
+    slow.recordGap(ModelName("m1"), 27ms);
   }
   ReplicaNeed need;
   need.service = ServiceName("llm");
