--- a/tests/calls/call_fixture.h
+++ b/tests/calls/call_fixture.h
@@ -90,7 +90,7 @@
     take(router_.onNotice(last<SendAttemptEffect>()->replica, notice, now));
   }
   /// The replica refuses the call without running it and requests a backoff of this duration.
-  void refuseFor(Duration duration) {
+  void refuseWithBackoff(Duration duration) {
     notice({false, duration, ""});
     answer(503, true);
   }
--- a/tests/calls/call_router_test.cc
+++ b/tests/calls/call_router_test.cc
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-struct Begun : CallFixture {
-  Begun() {
+struct StartedFixture : CallFixture {
+  StartedFixture() {
     begin();
     addReplicas({replica("r1"), replica("r2"), replica("r3")});
   }
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("The longest matching path prefix selects the route, and an unknown route is refused at once") {
-  Begun fixture;
+  StartedFixture fixture;
   CHECK(fixture.router().ready());
   fixture.call("/safe/a/b/c");
   CHECK(fixture.count<SendAttemptEffect>() == 1);
@@ -54,13 +54,13 @@
 }
 
 TEST_CASE("A call gets the shorter of its caller's and its route's time limit") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/safe/x");
   CHECK(fixture.last<SendAttemptEffect>()->time_left == 1s);
 }
 
 TEST_CASE("A complete response is delivered exactly once") {
-  Begun fixture;
+  StartedFixture fixture;
   const CallNumber call = fixture.call("/once/x");
   const AttemptNumber attempt = fixture.attempt();
   fixture.answer(200);
@@ -91,7 +91,7 @@
   };
   for (const FailureCase& given : cases) {
     INFO(given.path << " " << static_cast<int>(given.failure));
-    Begun fixture;
+    StartedFixture fixture;
     fixture.call(given.path);
     while (fixture.last<RefuseCallEffect>() == nullptr) {
       fixture.fail(given.failure);
@@ -104,14 +104,14 @@
 }
 
 TEST_CASE("A call refused by replicas is sent to others and finally refused with a retry time") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/once/x");
-  std::set<ReplicaId> asked;
+  std::set<ReplicaId> attempted;
   for (int i = 0; i < 3; ++i) {
-    asked.insert(fixture.last<SendAttemptEffect>()->replica);
+    attempted.insert(fixture.last<SendAttemptEffect>()->replica);
     fixture.answer(503, true);
   }
-  CHECK(asked.size() == 3);
+  CHECK(attempted.size() == 3);
   const auto* refusal = fixture.last<RefuseCallEffect>();
   REQUIRE(refusal != nullptr);
   CHECK(refusal->not_run);
@@ -119,8 +119,8 @@
 }
 
 /// One replica holds the model of the calls; tests may add more.
-struct Modelled : CallFixture {
-  explicit Modelled(double retry_slack = 100) : CallFixture(retry_slack) {
+struct ModelFixture : CallFixture {
+  explicit ModelFixture(double retry_slack = 100) : CallFixture(retry_slack) {
     begin();
     addReplicas({holder("e1")});
   }
@@ -129,7 +129,7 @@
     replica.held = {{ModelName("m1"), {}}};
     return replica;
   }
-  const wire::CallRouterStatus& told() const {
+  const wire::CallRouterStatus& lastStatus() const {
     return std::get<wire::CallRouterStatus>(last<wire::SendEffect>()->message);
   }
 };
@@ -153,22 +153,22 @@
 
 TEST_CASE(
     "A call whose only replica is unreachable waits for another one, and both are reported to control") {
-  Modelled fixture;
+  ModelFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.fail(AttemptFailure::NotSent);
   fixture.pass(20ms);
   CHECK(fixture.count<SendAttemptEffect>() == 1);
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
-  CHECK(fixture.told().unreachable == std::vector<ReplicaId>{ReplicaId("e1")});
-  REQUIRE(fixture.told().wants.size() == 1);
-  CHECK(fixture.told().wants[0].waiting == 1);
-  fixture.addReplicas({Modelled::holder("e2")});
+  CHECK(fixture.lastStatus().unreachable == std::vector<ReplicaId>{ReplicaId("e1")});
+  REQUIRE(fixture.lastStatus().wants.size() == 1);
+  CHECK(fixture.lastStatus().wants[0].waiting == 1);
+  fixture.addReplicas({ModelFixture::holder("e2")});
   REQUIRE(fixture.count<SendAttemptEffect>() == 2);
   CHECK(fixture.last<SendAttemptEffect>()->replica == ReplicaId("e2"));
 }
 
 TEST_CASE("An unreachable replica is probed by one waiting call after its ejection") {
-  Modelled fixture;
+  ModelFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.fail(AttemptFailure::NotSent);
   fixture.call("/model/x", "m1");
@@ -178,11 +178,11 @@
   fixture.event(1);
   fixture.pass(300ms);
   CHECK(fixture.count<SendAttemptEffect>() == 3);
-  CHECK(fixture.told().unreachable.empty());
+  CHECK(fixture.lastStatus().unreachable.empty());
 }
 
 TEST_CASE("A replica that lacks a listed model is retried at increasing intervals") {
-  Modelled fixture;
+  ModelFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.answer(421, true);
   CHECK(fixture.count<SendAttemptEffect>() == 1);
@@ -198,7 +198,7 @@
 }
 
 TEST_CASE("A call that may have run isn't refused as not run, even if later replicas refuse it") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
   while (fixture.last<RefuseCallEffect>() == nullptr) {
@@ -208,7 +208,7 @@
 }
 
 TEST_CASE("An error response is delivered if the call isn't repeatable, and retried elsewhere if it is") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/once/x");
   fixture.answer(500);
   CHECK(fixture.count<DeliverAnswerEffect>() == 1);
@@ -221,7 +221,7 @@
 }
 
 TEST_CASE("At the deadline the attempt is cancelled and the call is refused at once") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/once/x");
   fixture.pass(999ms);
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
@@ -233,7 +233,7 @@
 }
 
 TEST_CASE("The attempt is cancelled if the caller disconnects") {
-  Begun fixture;
+  StartedFixture fixture;
   const CallNumber call = fixture.call("/once/x");
   fixture.take(fixture.router().onCallerGone(call, fixture.now));
   CHECK(fixture.last<CancelAttemptEffect>()->attempt == fixture.attempt());
@@ -241,7 +241,7 @@
 }
 
 TEST_CASE("A broken stream of a resumable route continues on another replica after its last event") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/stream/x");
   fixture.event(1);
   fixture.event(2);
@@ -257,7 +257,7 @@
 }
 
 TEST_CASE("A broken stream that can't be resumed is aborted visibly") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/single/x");
   fixture.event(1);
   fixture.fail(AttemptFailure::Unproved);
@@ -266,7 +266,7 @@
 }
 
 TEST_CASE("A started stream that no replica continues is aborted instead of refused") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.call("/stream/x");
   fixture.event(1);
   fixture.fail(AttemptFailure::Unproved);
@@ -277,7 +277,7 @@
 }
 
 TEST_CASE("A draining replica gets no new calls") {
-  Begun fixture;
+  StartedFixture fixture;
   wire::RoutedReplica leaving = CallFixture::replica("r1");
   leaving.accepting = false;
   fixture.addReplicas({leaving});
@@ -289,7 +289,7 @@
 
 TEST_CASE(
     "A call for a model that no replica holds is reported as demand and runs once the model is loaded") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.pass(20ms);
   fixture.all.clear();
@@ -309,7 +309,7 @@
 }
 
 TEST_CASE("A call whose model isn't loaded in time is refused as not run before its deadline") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.call("/model/x", "m1");
   fixture.pass(800ms);
@@ -320,7 +320,7 @@
 }
 
 TEST_CASE("A draining router notifies all members and finally accepts only calls that end in time") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.all.clear();
   fixture.take(fixture.router().beginDrain(fixture.now + 2s, fixture.now + 2500ms, fixture.now));
   CHECK_FALSE(fixture.router().ready());
@@ -337,7 +337,7 @@
 }
 
 TEST_CASE("Waiting calls and calls left at the end of a drain get a final response") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
   fixture.call("/model/x", "m1");
   fixture.call("/once/x");
@@ -353,7 +353,7 @@
 }
 
 TEST_CASE("Updates of a replaced leader are ignored, and the catalog version never decreases") {
-  Begun fixture;
+  StartedFixture fixture;
   wire::ServiceUpdate newer;
   newer.revision = LogIndex{std::uint64_t{9} << 40};
   newer.catalog = CallFixture::catalog(5);
@@ -369,7 +369,7 @@
 }
 
 TEST_CASE("A revision is acknowledged at once if confirmation is requested, else with the next status") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.pass(300ms);
   fixture.all.clear();
   fixture.addReplicas({CallFixture::replica("r4")});
@@ -396,7 +396,7 @@
 }
 
 TEST_CASE("Only the connection to a member that answers no status is replaced") {
-  Begun fixture;
+  StartedFixture fixture;
   fixture.all.clear();
   for (int i = 0; i < 16; ++i) {
     fixture.pass(250ms);
@@ -415,14 +415,14 @@
 }
 
 TEST_CASE("A catalog is accepted from any member, unless its version is lower") {
-  Begun fixture;
-  const auto tell = [&fixture](std::uint64_t version) {
+  StartedFixture fixture;
+  const auto sendCatalog = [&fixture](std::uint64_t version) {
     fixture.take(fixture.router().receive(
         {NodeName("control-2"), wire::CatalogUpdate{CallFixture::catalog(version)}}, fixture.now));
   };
-  tell(4);
+  sendCatalog(4);
   CHECK(fixture.router().catalogVersion().value == 4);
-  tell(3);
+  sendCatalog(3);
   CHECK(fixture.router().catalogVersion().value == 4);
   CHECK(fixture.router().knownReplicas() == 3);
 }
@@ -457,7 +457,7 @@
 }
 
 TEST_CASE("Unlisted replicas are removed only by a complete full table") {
-  Begun fixture;
+  StartedFixture fixture;
   wire::ServiceUpdate partial;
   partial.replicas = {CallFixture::replica("r1")};
   fixture.send(partial);
--- a/tests/calls/control_feed_test.cc
+++ b/tests/calls/control_feed_test.cc
@@ -96,8 +96,8 @@
     all += count;
   }
   INFO(all << " statuses in " << kSeconds << " s");
-  constexpr std::size_t kAskedASecond = 4;  // two members, twice a second
-  CHECK(all <= kAskedASecond * kSeconds + 2);
+  constexpr std::size_t kQueriesPerSecond = 4;  // two members, twice a second
+  CHECK(all <= kQueriesPerSecond * kSeconds + 2);
   CHECK(fleet.statuses.size() == kMembers);  // each member was queried
 }
 
--- a/tests/calls/crash_test.cc
+++ b/tests/calls/crash_test.cc
@@ -10,15 +10,15 @@
 using namespace std::chrono_literals;
 using quarantine::Standing;
 
-struct Crashing : CallFixture {
-  Crashing() {
+struct CrashFixture : CallFixture {
+  CrashFixture() {
     begin();
     addReplicas({replica("r1"), replica("r2"), replica("r3"), replica("r4"), replica("r5")});
     probe_outcome = ProbeOutcome::Ended;
   }
   Standing standing() { return router().crashLedger().standing(fingerprint); }
   /// Passes the crash record of another router, as forwarded by a member.
-  void tell(const std::vector<std::string>& ended, bool shares_all = false) {
+  void receiveRecord(const std::vector<std::string>& ended, bool shares_all = false) {
     wire::CrashRecord record;
     record.call = fingerprint;
     for (const std::string& id : ended) {
@@ -27,7 +27,7 @@
     take(router().receive({NodeName("control-1"), wire::CrashRecords{{record}, shares_all}}, now));
   }
   /// Number of messages with crash records that the router has sent to members.
-  std::size_t told() {
+  std::size_t sentRecords() {
     std::size_t count = 0;
     for (const Effect& effect : all) {
       const auto* send = std::get_if<wire::SendEffect>(&effect);
@@ -57,7 +57,7 @@
   };
   for (const EvidenceCase& given : cases) {
     INFO(given.name);
-    Crashing fixture;
+    CrashFixture fixture;
     fixture.probe_outcome = given.outcome;
     fixture.call("/once/x");
     fixture.fail(given.failure);
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("A call is refused as possibly run and not retried after a third replica crashed under it") {
-  Crashing fixture;
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
   fixture.fail(AttemptFailure::Unproved);
@@ -80,8 +80,8 @@
 }
 
 TEST_CASE("A repeated quarantined call is refused at once as not run, with the end of its quarantine") {
-  Crashing fixture;
-  fixture.tell({"a", "b", "c"});
+  CrashFixture fixture;
+  fixture.receiveRecord({"a", "b", "c"});
   fixture.call("/model/x", "m0");
   REQUIRE(fixture.count<RefuseCallEffect>() == 1);
   const RefuseCallEffect refused = *fixture.last<RefuseCallEffect>();
@@ -101,14 +101,14 @@
 }
 
 TEST_CASE("A reported third crash ends waiting and unanswered calls but no stream in progress") {
-  Crashing fixture;
+  CrashFixture fixture;
   fixture.call("/stream/x");
   const AttemptNumber streaming = fixture.attempt();
   fixture.event(1);
   fixture.call("/safe/x");
   const AttemptNumber running = fixture.attempt();
   fixture.call("/model/x", "m0");
-  fixture.tell({"a", "b", "c"});
+  fixture.receiveRecord({"a", "b", "c"});
   CHECK(fixture.count<RefuseCallEffect>() == 2);
   REQUIRE(fixture.count<CancelAttemptEffect>() == 1);
   CHECK(fixture.last<CancelAttemptEffect>()->attempt == running);
@@ -118,8 +118,8 @@
 }
 
 TEST_CASE("Crashed replicas don't use up the attempts of calls that ran beside the crashing one") {
-  Crashing fixture;
-  fixture.tell({});
+  CrashFixture fixture;
+  fixture.receiveRecord({});
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
   fixture.fail(AttemptFailure::Unproved);
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("A call that was broken off waits for the probe of its replica, but not beyond its deadline") {
-  Crashing fixture;
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.take(
       fixture.router().onFailure(fixture.attempt(), AttemptFailure::Unproved, "broken off", fixture.now));
@@ -150,7 +150,7 @@
 }
 
 TEST_CASE("One probe decides for all calls that a replica broke off, even if a caller has disconnected") {
-  Crashing fixture;
+  CrashFixture fixture;
   fixture.addReplicas({});
   std::vector<AttemptNumber> attempts;
   std::vector<CallNumber> calls;
@@ -176,24 +176,24 @@
 }
 
 TEST_CASE("Crashes and the responses that refute them are reported to members, other calls aren't") {
-  Crashing fixture;
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.answer(200);
-  CHECK(fixture.told() == 0);
+  CHECK(fixture.sentRecords() == 0);
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
-  CHECK(fixture.told() == 2);
+  CHECK(fixture.sentRecords() == 2);
   fixture.answer(200);
-  CHECK(fixture.told() == 4);
+  CHECK(fixture.sentRecords() == 4);
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
 TEST_CASE("A member that lacks shared crash records gets them; a member with the same records doesn't") {
-  Crashing fixture;
-  fixture.tell({"a", "b"}, true);
-  CHECK(fixture.told() == 0);
+  CrashFixture fixture;
+  fixture.receiveRecord({"a", "b"}, true);
+  CHECK(fixture.sentRecords() == 0);
   fixture.take(fixture.router().receive({NodeName("control-1"), wire::CrashRecords{{}, true}}, fixture.now));
-  CHECK(fixture.told() == 1);
+  CHECK(fixture.sentRecords() == 1);
 }
 
 }  // namespace
--- a/tests/calls/parts_test.cc
+++ b/tests/calls/parts_test.cc
@@ -154,11 +154,11 @@
 
 TEST_CASE("A restarted replica starts without state, and an earlier incarnation doesn't replace it") {
   ReplicaTable table(ZoneName(""), 3);
-  const auto list = [&table](std::uint64_t born) {
+  const auto list = [&table](std::uint64_t start_ms) {
     wire::ServiceUpdate update;
     update.base = LogIndex{1};
     update.replicas = {CallFixture::replica("r1")};
-    update.replicas[0].id = wire::replicaLife("r1", born);
+    update.replicas[0].id = wire::replicaLife("r1", start_ms);
     update.replicas[0].held = {{ModelName("m"), {}}};
     table.apply(update, kStart);
     return table.find(update.replicas[0].id);
--- a/tests/calls/replica_credit_test.cc
+++ b/tests/calls/replica_credit_test.cc
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-struct LimitedCopy : CallFixture {
-  LimitedCopy() {
+struct LimitedReplicaFixture : CallFixture {
+  LimitedReplicaFixture() {
     begin();
     addReplicas({holder("e1")});
-    hearLeader();
+    receiveLeaderUpdate();
     call("/model/x", "m1");
     ReplicaNotice limited;
     limited.calls_per_second = 1;
@@ -25,7 +25,7 @@
     replica.held = {{ModelName("m1"), {}}};
     return replica;
   }
-  void hearLeader() {
+  void receiveLeaderUpdate() {
     wire::ServiceUpdate update;
     update.base = LogIndex{(std::uint64_t{1} << 40) | 1};
     update.grants_limits = true;
@@ -51,7 +51,7 @@
 };
 
 TEST_CASE("A call with a credit for a replica that starts draining ends in time and returns the credit") {
-  LimitedCopy fixture;
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   ReplicaNotice leaving;
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("A call waits until its credit may be used") {
-  LimitedCopy fixture;
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   fixture.pass(190ms);
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE("A call without available credit is refused at once with the time of the next credit") {
-  LimitedCopy fixture;
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(false, 1500);
   const auto* refusal = fixture.last<RefuseCallEffect>();
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("An unused credit is returned if the caller disconnects or the call wasn't sent") {
-  LimitedCopy fixture;
+  LimitedReplicaFixture fixture;
   const CallNumber gone = fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   fixture.take(fixture.router().onCallerGone(gone, fixture.now));
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE("Without a leader, calls that need a credit don't wait longer than for a replica") {
-  LimitedCopy fixture;
+  LimitedReplicaFixture fixture;
   fixture.pass(3s);
   fixture.call("/model/x", "m1");
   fixture.pass(2s);
@@ -109,29 +109,29 @@
 }
 
 TEST_CASE("A limit published by the leader is kept until a leader publishes its end") {
-  LimitedCopy fixture;
-  wire::RoutedReplica told = LimitedCopy::holder("e2");
-  told.calls_per_second = 2;
-  fixture.addReplicas({told});
+  LimitedReplicaFixture fixture;
+  wire::RoutedReplica listed = LimitedReplicaFixture::holder("e2");
+  listed.calls_per_second = 2;
+  fixture.addReplicas({listed});
   CHECK(fixture.router().replicaLimits().limitOf(ReplicaId("e2")) == 2.0);
-  told.calls_per_second.reset();
-  fixture.addReplicas({told});
+  listed.calls_per_second.reset();
+  fixture.addReplicas({listed});
   CHECK(fixture.router().replicaLimits().isLimited(ReplicaId("e2")));
-  told.limit_ended = true;
-  fixture.addReplicas({told});
+  listed.limit_ended = true;
+  fixture.addReplicas({listed});
   CHECK_FALSE(fixture.router().replicaLimits().isLimited(ReplicaId("e2")));
 }
 
 TEST_CASE("A new incarnation of a replica doesn't inherit the rate limit") {
   CallFixture fixture;
   fixture.begin();
-  fixture.addReplicas({LimitedCopy::holder("e1@1000")});
+  fixture.addReplicas({LimitedReplicaFixture::holder("e1@1000")});
   fixture.call("/model/x", "m1");
   ReplicaNotice limited;
   limited.calls_per_second = 0;
   fixture.notice(limited);
   CHECK(fixture.router().replicaLimits().isLimited(ReplicaId("e1@1000")));
-  fixture.addReplicas({LimitedCopy::holder("e1@2000")});
+  fixture.addReplicas({LimitedReplicaFixture::holder("e1@2000")});
   CHECK(fixture.router().replicaLimits().size() == 0);
 }
 
--- a/tests/calls/replica_limits_test.cc
+++ b/tests/calls/replica_limits_test.cc
@@ -76,43 +76,44 @@
   CHECK(fixture.limits.admits(kReplica, fixture.now));
   fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
   CHECK_FALSE(fixture.limits.admits(kReplica, fixture.now));
-  const auto ask = fixture.limits.requestCredit(kReplica, 300ms, fixture.now);
-  REQUIRE(ask);
+  const auto credit_request = fixture.limits.requestCredit(kReplica, 300ms, fixture.now);
+  REQUIRE(credit_request);
   const auto request = fixture.limits.message(fixture.now);
   REQUIRE(request);
   REQUIRE(request->asks.size() == 1);
   CHECK(request->asks.front().wait_ms == 300);
   CHECK(request->heard == std::vector<wire::HeardLimit>{{kReplica, 1.0, 0}});
   CHECK_FALSE(fixture.limits.message(fixture.now));
-  const auto resolved = fixture.limits.accept({7, {fixture.decision(*ask, true, 200)}}, fixture.now);
+  const auto resolved =
+      fixture.limits.accept({7, {fixture.decision(*credit_request, true, 200)}}, fixture.now);
   REQUIRE(resolved.size() == 1);
   CHECK(resolved.front().verdict == LimitResolved::Verdict::Granted);
   CHECK(resolved.front().at == fixture.now + 200ms);
-  CHECK(fixture.limits.accept({7, {fixture.decision(*ask, true, 0)}}, fixture.now).empty());
+  CHECK(fixture.limits.accept({7, {fixture.decision(*credit_request, true, 0)}}, fixture.now).empty());
 }
 
 TEST_CASE("A credit for a call that has ended is returned, and replies to another incarnation are ignored") {
   LimitsFixture fixture;
   fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
-  const auto ask = fixture.limits.requestCredit(kReplica, 0s, fixture.now);
+  const auto credit_request = fixture.limits.requestCredit(kReplica, 0s, fixture.now);
   fixture.limits.message(fixture.now);
-  fixture.limits.abandon(*ask);
-  CHECK(fixture.limits.accept({8, {fixture.decision(*ask, true, 0)}}, fixture.now).empty());
+  fixture.limits.abandon(*credit_request);
+  CHECK(fixture.limits.accept({8, {fixture.decision(*credit_request, true, 0)}}, fixture.now).empty());
   CHECK_FALSE(fixture.limits.message(fixture.now));
-  fixture.limits.accept({7, {fixture.decision(*ask, true, 0)}}, fixture.now);
+  fixture.limits.accept({7, {fixture.decision(*credit_request, true, 0)}}, fixture.now);
   CHECK(fixture.limits.message(fixture.now)->returned == std::vector<ReplicaId>{kReplica});
 }
 
 TEST_CASE("A credit request without a reply ends within a quarter of a second") {
   LimitsFixture fixture;
   fixture.limits.recordLimit(kReplica, 1, std::nullopt, fixture.now);
-  const auto ask = fixture.limits.requestCredit(kReplica, 1s, fixture.now);
+  const auto credit_request = fixture.limits.requestCredit(kReplica, 1s, fixture.now);
   fixture.limits.message(fixture.now);
   CHECK(fixture.limits.nextDeadline() == fixture.now + 250ms);
   CHECK(fixture.limits.tick(fixture.now + 249ms).empty());
   const auto resolved = fixture.limits.tick(fixture.now + 250ms);
   REQUIRE(resolved.size() == 1);
-  CHECK(resolved.front().request_number == *ask);
+  CHECK(resolved.front().request_number == *credit_request);
   CHECK(resolved.front().verdict == LimitResolved::Verdict::Unanswered);
 }
 
--- a/tests/calls/replica_notice_test.cc
+++ b/tests/calls/replica_notice_test.cc
@@ -17,8 +17,8 @@
 using namespace std::chrono_literals;
 
 /// A single replica holds the model of the calls.
-struct OnlyCopy : CallFixture {
-  OnlyCopy() {
+struct SingleReplicaFixture : CallFixture {
+  SingleReplicaFixture() {
     begin();
     addReplicas({holder("e1")});
   }
@@ -28,7 +28,7 @@
     return replica;
   }
   /// Lists all replicas afresh, as a new leader does that doesn't know their notices to routers.
-  void listAnew(const std::vector<wire::RoutedReplica>& replicas) {
+  void relistAll(const std::vector<wire::RoutedReplica>& replicas) {
     wire::ServiceUpdate update;
     update.complete = true;
     update.replicas = replicas;
@@ -37,15 +37,15 @@
 };
 
 TEST_CASE("A replica gets no call until the backoff that it requested has ended") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   CHECK(fixture.sentTo("e1") == 1);
   for (int i = 0; i < 28; ++i) {
     fixture.call("/model/x", "m1");
     fixture.pass(100ms);
     if (i == 10) {
-      fixture.listAnew({OnlyCopy::holder("e1")});
+      fixture.relistAll({SingleReplicaFixture::holder("e1")});
     }
   }
   CHECK(fixture.sentTo("e1") == 1);
@@ -55,8 +55,8 @@
 }
 
 TEST_CASE("A replica that announced its draining in a response gets no further call") {
-  OnlyCopy fixture;
-  fixture.addReplicas({OnlyCopy::holder("e1"), OnlyCopy::holder("e2")});
+  SingleReplicaFixture fixture;
+  fixture.addReplicas({SingleReplicaFixture::holder("e1"), SingleReplicaFixture::holder("e2")});
   fixture.call("/model/x", "m1");
   const std::string leaving = fixture.last<SendAttemptEffect>()->replica.value;
   fixture.notice({true, std::nullopt, ""});
@@ -65,7 +65,7 @@
     fixture.call("/model/x", "m1");
     fixture.answer(200);
     if (i == 10) {
-      fixture.listAnew({OnlyCopy::holder("e1"), OnlyCopy::holder("e2")});
+      fixture.relistAll({SingleReplicaFixture::holder("e1"), SingleReplicaFixture::holder("e2")});
     }
   }
   CHECK(fixture.sentTo(leaving) == 1);
@@ -73,33 +73,33 @@
 }
 
 /// e2 also holds the model.
-struct TwoCopies : OnlyCopy {
-  TwoCopies() { addReplicas({holder("e2")}); }
+struct TwoReplicaFixture : SingleReplicaFixture {
+  TwoReplicaFixture() { addReplicas({holder("e2")}); }
 };
 
 TEST_CASE("While one replica is in a backoff, the other one gets the calls") {
-  TwoCopies fixture;
+  TwoReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
-  fixture.refuseFor(3s);
+  const std::string refusing = fixture.last<SendAttemptEffect>()->replica.value;
+  fixture.refuseWithBackoff(3s);
   for (int i = 0; i < 10; ++i) {
     fixture.answer(200);
     fixture.call("/model/x", "m1");
   }
-  CHECK(fixture.sentTo(asking) == 1);
+  CHECK(fixture.sentTo(refusing) == 1);
   CHECK(fixture.count<SendAttemptEffect>() == 12);
   CHECK(fixture.count<RefuseCallEffect>() == 0);
 }
 
 TEST_CASE("A call waits for the end of a backoff if it can be in time, else it is refused at once") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(100ms);
+  fixture.refuseWithBackoff(100ms);
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
   fixture.pass(100ms);
   CHECK(fixture.sentTo("e1") == 2);
 
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   const auto* refusal = fixture.last<RefuseCallEffect>();
   REQUIRE(refusal != nullptr);
   CHECK(refusal->code == ResultCode::ReplicaBackoff);
@@ -110,16 +110,16 @@
 }
 
 TEST_CASE("Retry times of callers that arrive during a backoff are spread over a period") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(4s);
+  fixture.refuseWithBackoff(4s);
   Duration least = Duration::max();
   Duration most = Duration::zero();
   for (int i = 0; i < 50; ++i) {
     fixture.call("/model/x", "m1");
-    const Duration told = *fixture.last<RefuseCallEffect>()->retry_after;
-    least = std::min(least, told);
-    most = std::max(most, told);
+    const Duration delay = *fixture.last<RefuseCallEffect>()->retry_after;
+    least = std::min(least, delay);
+    most = std::max(most, delay);
   }
   CHECK(least >= 4s);
   CHECK(most - least > 800ms);
@@ -127,9 +127,9 @@
 }
 
 TEST_CASE("After a backoff one waiting call is sent first, and more when it is accepted") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(100ms);
+  fixture.refuseWithBackoff(100ms);
   for (int i = 0; i < 5; ++i) {
     fixture.call("/model/x", "m1");
   }
@@ -141,11 +141,11 @@
 
 /// Two calls are in flight when the response to the second one requests a backoff.
 TEST_CASE("Responses to earlier calls are delivered and don't end a backoff") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   const AttemptNumber earlier = fixture.attempt();
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   fixture.take(fixture.router().onAnswer(earlier, {200, false}, fixture.now));
   CHECK(fixture.count<DeliverAnswerEffect>() == 1);
   fixture.call("/model/x", "m1");
@@ -155,14 +155,14 @@
 TEST_CASE("A requested backoff doesn't count as a failure, whether or not the call is marked as not run") {
   for (const bool unrun : {true, false}) {
     INFO(unrun);
-    OnlyCopy fixture;
+    SingleReplicaFixture fixture;
     for (int i = 0; i < 5; ++i) {
       fixture.call("/model/x", "m1");
       fixture.notice({false, 1s, ""});
       fixture.answer(503, unrun);
       fixture.pass(1100ms);
     }
-    fixture.addReplicas({OnlyCopy::holder("e2")});
+    fixture.addReplicas({SingleReplicaFixture::holder("e2")});
     fixture.all.clear();
     for (int i = 0; i < 20; ++i) {
       fixture.call("/model/x", "m1");
@@ -176,31 +176,31 @@
 TEST_CASE("A new incarnation of a replica isn't bound by the notices of the previous one") {
   CallFixture fixture;
   fixture.begin();
-  fixture.addReplicas({OnlyCopy::holder("e1@1000")});
+  fixture.addReplicas({SingleReplicaFixture::holder("e1@1000")});
   fixture.call("/model/x", "m1");
   fixture.notice({true, 3s, ""});
   fixture.answer(503, true);
   fixture.call("/model/x", "m1");
   CHECK(fixture.count<SendAttemptEffect>() == 1);
-  fixture.addReplicas({OnlyCopy::holder("e1@2000")});
+  fixture.addReplicas({SingleReplicaFixture::holder("e1@2000")});
   fixture.call("/model/x", "m1");
   CHECK(fixture.sentTo("e1@2000") > 0);
 }
 
 TEST_CASE("A broken stream isn't resumed on a replica in a backoff") {
-  TwoCopies fixture;
+  TwoReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
-  fixture.refuseFor(3s);
+  const std::string refusing = fixture.last<SendAttemptEffect>()->replica.value;
+  fixture.refuseWithBackoff(3s);
   fixture.event(1);
   fixture.fail(AttemptFailure::Unproved);
-  CHECK(fixture.sentTo(asking) == 1);
+  CHECK(fixture.sentTo(refusing) == 1);
 }
 
 TEST_CASE("A call whose only replica is in a backoff is reported as waiting demand") {
-  OnlyCopy fixture;
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   fixture.all.clear();
   fixture.pass(1s);
   std::uint32_t waiting = 0;
@@ -219,8 +219,8 @@
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("r1"), CallFixture::replica("r2"), CallFixture::replica("r3")});
   fixture.call("/once/x");
-  for (const Duration asked : {5s, 3s, 4s}) {
-    fixture.refuseFor(asked);
+  for (const Duration duration : {5s, 3s, 4s}) {
+    fixture.refuseWithBackoff(duration);
   }
   const auto* refusal = fixture.last<RefuseCallEffect>();
   REQUIRE(refusal != nullptr);
--- a/tests/calls/replica_notices_test.cc
+++ b/tests/calls/replica_notices_test.cc
@@ -13,13 +13,13 @@
 const ReplicaId kReplica("e1");
 const TimePoint kStart{1000s};
 
-ReplicaNotice wanting(Duration duration) {
+ReplicaNotice backoffNotice(Duration duration) {
   return {false, duration, ""};
 }
 
 /// Backoffs requested one after the other, and the resulting backoff.
 struct BackoffCase {
-  std::vector<Duration> asked;
+  std::vector<Duration> requested;
   Duration closed;
 };
 
@@ -29,8 +29,8 @@
   };
   for (const BackoffCase& given : cases) {
     ReplicaNotices notices;
-    for (const Duration asked : given.asked) {
-      notices.accept(kReplica, wanting(asked), kStart);
+    for (const Duration requested : given.requested) {
+      notices.accept(kReplica, backoffNotice(requested), kStart);
     }
     INFO(toMilliseconds(given.closed));
     CHECK(notices.closedUntil(kReplica, kStart) == kStart + given.closed);
@@ -42,8 +42,8 @@
 TEST_CASE("The effect of a notice is returned") {
   ReplicaNotices notices;
   using Change = ReplicaNotices::Change;
-  CHECK(notices.accept(kReplica, wanting(3s), kStart) == Change::Backoff);
-  CHECK(notices.accept(kReplica, wanting(1s), kStart) == Change::None);
+  CHECK(notices.accept(kReplica, backoffNotice(3s), kStart) == Change::Backoff);
+  CHECK(notices.accept(kReplica, backoffNotice(1s), kStart) == Change::None);
   CHECK(notices.accept(kReplica, {true, std::nullopt, ""}, kStart) == Change::Leaving);
   CHECK(notices.accept(kReplica, {true, std::nullopt, ""}, kStart) == Change::None);
   CHECK(notices.accept(kReplica, {false, std::nullopt, "soon"}, kStart) == Change::None);
@@ -61,7 +61,7 @@
 
 TEST_CASE("After a backoff one call is admitted, then twice as many after each accepted call") {
   ReplicaNotices notices;
-  notices.accept(kReplica, wanting(3s), kStart);
+  notices.accept(kReplica, backoffNotice(3s), kStart);
   const TimePoint open = kStart + 3s;
   std::uint64_t round = 0;
   const auto sendable = [&] {
@@ -87,8 +87,8 @@
 
 TEST_CASE("The first attempt after a backoff yields the duration of the backoff") {
   ReplicaNotices notices;
-  notices.accept(kReplica, wanting(2s), kStart);
-  notices.accept(kReplica, wanting(2s), kStart + 1s);
+  notices.accept(kReplica, backoffNotice(2s), kStart);
+  notices.accept(kReplica, backoffNotice(2s), kStart + 1s);
   const auto first = notices.onSent(kReplica, kStart + 4s);
   REQUIRE(first.has_value());
   CHECK(first->first);
@@ -99,7 +99,7 @@
 
 TEST_CASE("A replica that refuses nothing for a second after its first call is fully open") {
   ReplicaNotices notices;
-  notices.accept(kReplica, wanting(3s), kStart);
+  notices.accept(kReplica, backoffNotice(3s), kStart);
   notices.onSent(kReplica, kStart + 3s);
   CHECK_FALSE(notices.admits(kReplica, kStart + 3900ms));
   CHECK(notices.admits(kReplica, kStart + 4s));
@@ -108,11 +108,11 @@
 
 TEST_CASE("A backoff requested while reopening closes the replica and starts a new round") {
   ReplicaNotices notices;
-  notices.accept(kReplica, wanting(1s), kStart);
+  notices.accept(kReplica, backoffNotice(1s), kStart);
   const std::uint64_t round = notices.onSent(kReplica, kStart + 1s)->round;
   notices.onAccepted(kReplica, round);
   notices.onSent(kReplica, kStart + 1s);
-  notices.accept(kReplica, wanting(1s), kStart + 1100ms);
+  notices.accept(kReplica, backoffNotice(1s), kStart + 1100ms);
   notices.onAccepted(kReplica, round);
   CHECK_FALSE(notices.admits(kReplica, kStart + 2000ms));
   CHECK(notices.admits(kReplica, kStart + 2100ms));
@@ -134,7 +134,7 @@
     ReplicaNotices notices;
     TimePoint now = kStart;
     TimePoint closed_until = kStart;
-    std::vector<std::uint64_t> undecided;
+    std::vector<std::uint64_t> pending;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 5), rc::gen::inRange(0, 2'000)));
     for (const auto& [action, milliseconds] : steps) {
@@ -142,17 +142,17 @@
       if (action == 0) {
         now += duration;
       } else if (action == 1 && milliseconds > 0) {
-        notices.accept(kReplica, wanting(duration), now);
+        notices.accept(kReplica, backoffNotice(duration), now);
         closed_until = std::max(closed_until, now + duration);
       } else if (action == 2 && notices.admits(kReplica, now)) {
         const auto reopening = notices.onSent(kReplica, now);
-        undecided.push_back(reopening ? reopening->round : 0);
-      } else if (action == 3 && !undecided.empty()) {
-        notices.onAccepted(kReplica, undecided.back());
-        undecided.pop_back();
-      } else if (action == 4 && !undecided.empty()) {
-        notices.onNotAccepted(kReplica, undecided.back());
-        undecided.pop_back();
+        pending.push_back(reopening ? reopening->round : 0);
+      } else if (action == 3 && !pending.empty()) {
+        notices.onAccepted(kReplica, pending.back());
+        pending.pop_back();
+      } else if (action == 4 && !pending.empty()) {
+        notices.onNotAccepted(kReplica, pending.back());
+        pending.pop_back();
       }
       RC_ASSERT(now >= closed_until || !notices.admits(kReplica, now));
       RC_ASSERT(notices.closedUntil(kReplica, now).has_value() == (now < closed_until));
--- a/tests/calls/tenant_test.cc
+++ b/tests/calls/tenant_test.cc
@@ -81,7 +81,7 @@
     return refused == nullptr ? ResultCode::Ok : refused->code;
   }
   /// Returns the last quota message to the leader; nullptr: none.
-  const wire::QuotaUse* told() const {
+  const wire::QuotaUse* lastQuotaUse() const {
     for (auto effect = all.rbegin(); effect != all.rend(); ++effect) {
       const auto* send = std::get_if<wire::SendEffect>(&*effect);
       const auto* use = send == nullptr ? nullptr : std::get_if<wire::QuotaUse>(&send->message);
@@ -202,10 +202,10 @@
   fixture.keyed(kSecret);
   CHECK(fixture.count<SendAttemptEffect>() == 2);
   fixture.passTime(60ms);
-  REQUIRE(fixture.told() != nullptr);
-  REQUIRE(fixture.told()->spent.size() == 1);
-  CHECK(fixture.told()->spent[0].total == 800);
-  CHECK(fixture.told()->asks.empty());
+  REQUIRE(fixture.lastQuotaUse() != nullptr);
+  REQUIRE(fixture.lastQuotaUse()->spent.size() == 1);
+  CHECK(fixture.lastQuotaUse()->spent[0].total == 800);
+  CHECK(fixture.lastQuotaUse()->asks.empty());
 }
 
 TEST_CASE("A call of a limited tenant waits for its credit") {
@@ -213,9 +213,9 @@
   fixture.begin(true);
   const CallNumber call = fixture.keyed(kSecret);
   CHECK(fixture.count<SendAttemptEffect>() == 0);
-  REQUIRE(fixture.told() != nullptr);
-  REQUIRE(fixture.told()->asks.size() == 1);
-  CHECK(fixture.told()->asks[0].amount == 400);
+  REQUIRE(fixture.lastQuotaUse() != nullptr);
+  REQUIRE(fixture.lastQuotaUse()->asks.size() == 1);
+  CHECK(fixture.lastQuotaUse()->asks[0].amount == 400);
   SECTION("granted") {
     fixture.decide(call.value, true);
     CHECK(fixture.count<SendAttemptEffect>() == 1);
@@ -232,8 +232,8 @@
     fixture.take(fixture.keyedRouter().onCallerGone(call, fixture.now));
     fixture.decide(call.value, true);
     fixture.passTime(60ms);
-    REQUIRE(fixture.told()->spent.size() == 1);
-    CHECK(fixture.told()->spent[0].total == -400);
+    REQUIRE(fixture.lastQuotaUse()->spent.size() == 1);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == -400);
   }
 }
 
@@ -242,21 +242,21 @@
   fixture.begin();
   fixture.keyed(kSecret);
   fixture.passTime(60ms);
-  REQUIRE(fixture.told()->spent[0].total == 400);
+  REQUIRE(fixture.lastQuotaUse()->spent[0].total == 400);
   SECTION("refused by replicas") {
     for (int i = 0; i < 3; ++i) {
       fixture.take(fixture.keyedRouter().onAnswer(fixture.attempt(), {503, true}, fixture.now));
     }
     REQUIRE(fixture.count<RefuseCallEffect>() == 1);
     fixture.passTime(60ms);
-    CHECK(fixture.told()->spent[0].total == 0);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 0);
   }
   SECTION("it may have run") {
     fixture.take(
         fixture.keyedRouter().onFailure(fixture.attempt(), AttemptFailure::Unproved, "reset", fixture.now));
     REQUIRE(fixture.count<RefuseCallEffect>() == 1);
     fixture.passTime(60ms);
-    CHECK(fixture.told()->spent[0].total == 400);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 400);
   }
 }
 
@@ -274,24 +274,24 @@
     fixture.take(fixture.keyedRouter().onProbed(first, ProbeOutcome::Lives, fixture.now));
     fixture.passTime(60ms);
     REQUIRE(fixture.count<SendAttemptEffect>() == 2);
-    CHECK(fixture.told()->spent[0].total == 800);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 800);
     fixture.take(fixture.keyedRouter().onAnswer(fixture.attempt(), {503, true}, fixture.now));
     fixture.passTime(60ms);
     // The second attempt didn't run, so the third one is covered by its charge.
     CHECK(fixture.count<SendAttemptEffect>() == 3);
-    CHECK(fixture.told()->spent[0].total == 800);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 800);
   }
   SECTION("it ran, and failed") {
     fixture.take(fixture.keyedRouter().onAnswer(fixture.attempt(), {500, false}, fixture.now));
     fixture.passTime(60ms);
     REQUIRE(fixture.count<SendAttemptEffect>() == 2);
-    CHECK(fixture.told()->spent[0].total == 800);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 800);
   }
   SECTION("it didn't run") {
     fixture.take(fixture.keyedRouter().onAnswer(fixture.attempt(), {503, true}, fixture.now));
     fixture.passTime(60ms);
     REQUIRE(fixture.count<SendAttemptEffect>() == 2);
-    CHECK(fixture.told()->spent[0].total == 400);
+    CHECK(fixture.lastQuotaUse()->spent[0].total == 400);
   }
 }
 
--- a/tests/calls/wait_policy_test.cc
+++ b/tests/calls/wait_policy_test.cc
@@ -34,32 +34,32 @@
   CHECK(waitLimit(call, ChoiceFailure::NoReplica, kArrived) == kArrived + 100ms);
 }
 
-struct AbsenceCase {
+struct RetryCase {
   const char* name;
   Duration ready;
   Duration now;
   bool not_started;
-  bool away;
+  bool refused;
 };
 
 TEST_CASE(
     "A caller is refused with a retry time if the load is late, the refusal prompt and a retry possible") {
-  const std::vector<AbsenceCase> cases = {
+  const std::vector<RetryCase> cases = {
       {"late load", 3s, 20ms, true, true},
       {"in time", 800ms, 20ms, true, false},
       {"not prompt any more", 3s, 300ms, true, false},
       {"no time to come back", 7s, 20ms, true, false},
       {"a replica has had it", 3s, 20ms, false, false},
   };
-  for (const AbsenceCase& given : cases) {
+  for (const RetryCase& given : cases) {
     INFO(given.name);
     WaitingCall call = notStartedCall();
     call.not_started = given.not_started;
-    const auto absence = retryDelayForLateModel(call, kArrived + given.ready, kArrived + given.now);
-    CHECK(absence.has_value() == given.away);
-    if (absence) {
-      CHECK(*absence > given.ready - given.now);
-      CHECK(*absence < given.ready - given.now + 500ms);
+    const auto delay = retryDelayForLateModel(call, kArrived + given.ready, kArrived + given.now);
+    CHECK(delay.has_value() == given.refused);
+    if (delay) {
+      CHECK(*delay > given.ready - given.now);
+      CHECK(*delay < given.ready - given.now + 500ms);
     }
   }
 }
