--- a/tests/calls/crash_test.cc
+++ b/tests/calls/crash_test.cc
@@ -188,7 +188,7 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("A member that lacks shared crash records gets them; a member with the same records doesn't") {
+TEST_CASE("Shared crash records are sent only to a member that lacks some of them") {
   CrashFixture fixture;
   fixture.receiveRecord({"a", "b"}, true);
   CHECK(fixture.sentRecords() == 0);
