--- a/src/balance/call_cost.cc
+++ b/src/balance/call_cost.cc
@@ -7,23 +7,24 @@
 namespace ferryrock::balance {
 namespace {
 
-/// Of the streams beside which prompts are read on a slow replica, the share that is late by it.
-constexpr double kDisturbedShare = 0.5;
-/// The way to another zone and the bytes over it, in tokens that are read meanwhile (about 5 ms).
+/// Share of the streams that are delayed by prefill on a slow replica.
+constexpr double kDelayedStreamShare = 0.5;
+/// Cost of the network path to another zone and of the transferred bytes, as the number of tokens that are
+/// prefilled in the same time (about 5 ms).
 constexpr double kOtherZoneTokens = 200;
 
 }  // namespace
 
-double callCost(const CallShape& call, const CallPlace& place) {
-  const FleetUse& use = place.use;
-  const double shared = place.is_home ? std::min(call.shared_tokens, call.prompt_tokens) : 0;
-  const double unread = call.prompt_tokens - shared;
-  const double wait = (use.unread_tokens + unread) * use.slowness;
-  // On the others a prompt passes between two events without their callers seeing it.
-  const double disturbed = use.slowness >= kUnevenSlowness ? kDisturbedShare * use.slowness : 0;
-  const double harm = disturbed * unread * use.streams;
-  const double exposure = disturbed * use.tokens_per_s * call.stream_seconds;
-  return wait + harm + exposure + (place.other_zone ? kOtherZoneTokens : 0);
+double callCost(const CallShape& call, const CallCandidate& candidate) {
+  const FleetUse& use = candidate.use;
+  const double shared = candidate.is_home ? std::min(call.shared_tokens, call.prompt_tokens) : 0;
+  const double prefill_tokens = call.prompt_tokens - shared;
+  const double wait = (use.unread_tokens + prefill_tokens) * use.slowness;
+  // A replica that isn't slow prefills a prompt between two events without a delay that callers notice.
+  const double delay_factor = use.slowness >= kUnevenSlowness ? kDelayedStreamShare * use.slowness : 0;
+  const double prefill_delay = delay_factor * prefill_tokens * use.streams;
+  const double stream_delay = delay_factor * use.tokens_per_s * call.stream_seconds;
+  return wait + prefill_delay + stream_delay + (candidate.other_zone ? kOtherZoneTokens : 0);
 }
 
 }  // namespace ferryrock::balance
--- a/src/calls/call_router_limits.cc
+++ b/src/calls/call_router_limits.cc
@@ -2,13 +2,14 @@
 
 #include "calls/call_router.h"
 
-/// The part of CallRouter that finds calls a credit where replicas take so many calls a second from all
+/// The part of CallRouter that obtains credits for calls to replicas which limit the rate of calls from all
 /// routers together.
 namespace ferryrock::calls {
 namespace {
 
-/// Replicas that one call asks for credit, one after the other, before it counts as known that none has room.
-constexpr std::size_t kMostAsked = 3;
+/// Number of replicas that credit is requested for on behalf of one call, one after the other, before none is
+/// considered to have capacity.
+constexpr std::size_t kMaxCreditRequests = 3;
 
 std::string_view view(const std::string& text) {
   return text;
@@ -16,13 +17,13 @@
 
 }  // namespace
 
-void CallRouter::useCredit(Call& call, TimePoint now) {
+void CallRouter::selectCredit(Call& call, TimePoint now) {
   call.need.credit.reset();
   std::optional<LimitCredit>& granted = call.credit.granted;
-  if (granted && now >= granted->from + ReplicaLimits::kCreditLasts) {
+  if (granted && now >= granted->valid_from + ReplicaLimits::kCreditTtl) {
     granted.reset();
   }
-  if (granted && now >= granted->from) {
+  if (granted && now >= granted->valid_from) {
     call.need.credit = granted->replica;
   }
   if (call.credit.opens_at && now >= *call.credit.opens_at) {
@@ -31,16 +32,17 @@
   }
 }
 
-/// Of several replicas the one with the highest limit is asked for first.
-void CallRouter::seekCredit(CallPointer call, const Choice& choice, TimePoint now) {
+/// Requests credit for the replica with the highest rate limit first.
+void CallRouter::obtainCredit(CallPointer call, const Choice& choice, TimePoint now) {
   Call& state = call->second;
-  // Its replica takes no calls any more, or not just now, for another reason.
+  // The replica that the credit is for can't be used now for another reason.
   if (state.need.credit) {
     replicas_.limits().giveBack(*state.need.credit);
     state.credit.granted.reset();
     state.need.credit.reset();
   }
-  if (state.credit.ask || state.credit.granted || state.credit.refused.size() >= kMostAsked) {
+  if (state.credit.pending_request || state.credit.granted ||
+      state.credit.refused.size() >= kMaxCreditRequests) {
     return;
   }
   ReplicaLimits& limits = replicas_.limits();
@@ -53,14 +55,14 @@
     return;
   }
   const Duration wait = waitLimit(waitingCall(state), ChoiceFailure::Limited, now) - now;
-  state.credit.ask = limits.ask(*best, wait, now);
-  state.credit.asked = *best;
-  if (state.credit.ask) {
-    limit_asks_[*state.credit.ask] = call->first;
+  state.credit.pending_request = limits.requestCredit(*best, wait, now);
+  state.credit.requested_from = *best;
+  if (state.credit.pending_request) {
+    credit_requests_[*state.credit.pending_request] = call->first;
   }
 }
 
-void CallRouter::spendCredit(Call& call, Attempt& attempt, TimePoint now) {
+void CallRouter::consumeCredit(Call& call, Attempt& attempt, TimePoint now) {
   attempt.with_credit = call.need.credit == attempt.replica;
   if (attempt.with_credit) {
     call.credit.granted.reset();
@@ -68,13 +70,13 @@
   } else {
     replicas_.limits().onSent(attempt.replica, now);
   }
-  dropCredit(call);
+  releaseCredit(call);
 }
 
-void CallRouter::dropCredit(Call& call) {
-  if (call.credit.ask) {
-    replicas_.limits().abandon(*call.credit.ask);
-    limit_asks_.erase(*call.credit.ask);
+void CallRouter::releaseCredit(Call& call) {
+  if (call.credit.pending_request) {
+    replicas_.limits().abandon(*call.credit.pending_request);
+    credit_requests_.erase(*call.credit.pending_request);
   }
   if (call.credit.granted) {
     replicas_.limits().giveBack(call.credit.granted->replica);
@@ -84,12 +86,12 @@
 
 void CallRouter::resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now) {
   for (const LimitResolved& one : resolved) {
-    const auto asking = limit_asks_.find(one.ask);
-    if (asking == limit_asks_.end()) {
+    const auto requester = credit_requests_.find(one.request_number);
+    if (requester == credit_requests_.end()) {
       continue;
     }
-    const CallPointer call = calls_.find(asking->second);
-    limit_asks_.erase(asking);
+    const CallPointer call = calls_.find(requester->second);
+    credit_requests_.erase(requester);
     if (call != calls_.end()) {
       resolveCredit(call, one, now);
     }
@@ -98,17 +100,18 @@
 
 void CallRouter::resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now) {
   CreditSearch& credit = call->second.credit;
-  credit.ask.reset();
+  credit.pending_request.reset();
   if (resolved.verdict == LimitResolved::Verdict::Granted) {
-    credit.granted = LimitCredit{credit.asked, resolved.at};
-    call->second.waits_until = std::max(call->second.waits_until, resolved.at + ReplicaLimits::kCreditLasts);
+    credit.granted = LimitCredit{credit.requested_from, resolved.at};
+    call->second.wait_deadline =
+        std::max(call->second.wait_deadline, resolved.at + ReplicaLimits::kCreditTtl);
   } else if (resolved.verdict == LimitResolved::Verdict::Refused) {
-    credit.refused.insert(credit.asked);
+    credit.refused.insert(credit.requested_from);
     credit.opens_at = std::min(credit.opens_at.value_or(resolved.at), resolved.at);
   }
   log_.write(LogLevel::Info, "call.credit",
              {{"request", view(call->second.request.id.value)},
-              {"replica", view(credit.asked.value)},
+              {"replica", view(credit.requested_from.value)},
               {"granted", resolved.verdict == LimitResolved::Verdict::Granted},
               {"answered", resolved.verdict != LimitResolved::Verdict::Unanswered},
               {"in_ms", toMilliseconds(resolved.at - now)},
@@ -118,7 +121,7 @@
   }
 }
 
-void CallRouter::tellLimits(TimePoint now) {
+void CallRouter::sendLimitRequest(TimePoint now) {
   const NodeName& leader = feed_.leader();
   if (leader.empty()) {
     return;
--- a/src/calls/retry_budget.cc
+++ b/src/calls/retry_budget.cc
@@ -3,8 +3,9 @@
 namespace ferryrock::calls {
 namespace {
 
-/// Windows of the routers and of whoever counts don't begin at the same moment.
-constexpr double kSafety = 0.7;
+/// Safety factor: the windows of different routers, and of observers that count retries, don't start at the
+/// same time.
+constexpr double kSafetyFactor = 0.7;
 
 }  // namespace
 
@@ -25,7 +26,7 @@
   drop(window.calls, now);
   drop(window.retries, now);
   const double own_share = settings_.share * static_cast<double>(window.calls.size());
-  const double allowed = kSafety * (own_share + settings_.slack / routers_);
+  const double allowed = kSafetyFactor * (own_share + settings_.slack / routers_);
   if (static_cast<double>(window.retries.size()) + 1 > allowed) {
     return false;
   }
--- a/tests/balance/call_cost_test.cc
+++ b/tests/balance/call_cost_test.cc
@@ -11,41 +11,42 @@
 namespace ferryrock::balance {
 namespace {
 
-CallPlace place(double streams, double unread, double rate, double slowness) {
-  CallPlace place;
-  place.use = {streams, unread, rate, slowness};
-  return place;
+CallCandidate candidate(double streams, double backlog, double rate, double slowness) {
+  CallCandidate candidate;
+  candidate.use = {streams, backlog, rate, slowness};
+  return candidate;
 }
 
 constexpr CallShape kPrompt{9'000, 6'300, 1};
 constexpr CallShape kStream{800, 200, 2};
 
-TEST_CASE("The cost rises with what is unread, with slowness, and beside streams on a slow replica") {
-  CHECK(callCost(kPrompt, place(0, 5'000, 0, 1)) > callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kPrompt, place(0, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kPrompt, place(20, 0, 0, 2)) > callCost(kPrompt, place(0, 0, 0, 2)));
-  CHECK(callCost(kPrompt, place(20, 0, 0, 1)) == callCost(kPrompt, place(0, 0, 0, 1)));
-  CHECK(callCost(kStream, place(0, 0, 20'000, 2)) > callCost(kStream, place(0, 0, 0, 2)));
+TEST_CASE("The cost rises with the prefill backlog, with slowness, and with streams on a slow replica") {
+  CHECK(callCost(kPrompt, candidate(0, 5'000, 0, 1)) > callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, candidate(0, 0, 0, 2)) > callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, candidate(20, 0, 0, 2)) > callCost(kPrompt, candidate(0, 0, 0, 2)));
+  CHECK(callCost(kPrompt, candidate(20, 0, 0, 1)) == callCost(kPrompt, candidate(0, 0, 0, 1)));
+  CHECK(callCost(kStream, candidate(0, 0, 20'000, 2)) > callCost(kStream, candidate(0, 0, 0, 2)));
 }
 
-TEST_CASE("A prefix that was read is worth its tokens, no more") {
-  CallPlace home = place(0, 0, 0, 1);
+TEST_CASE("A cached prefix lowers the cost by its own tokens at most") {
+  CallCandidate home = candidate(0, 0, 0, 1);
   home.is_home = true;
-  CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, place(0, 0, 0, 1)) - 6'300));
+  CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, candidate(0, 0, 0, 1)) - 6'300));
   home.use.unread_tokens = 7'000;
-  CHECK(callCost(kPrompt, home) > callCost(kPrompt, place(0, 0, 0, 1)));
+  CHECK(callCost(kPrompt, home) > callCost(kPrompt, candidate(0, 0, 0, 1)));
   CHECK(callCost({100, 6'300, 0}, home) >= 0);
 }
 
-/// One replica: reads prompts one after the other and runs streams. On a slow one, streams beside which over
-/// 8,000 tokens are read within half a second are late, as callers bear no longer pause.
+/// Simulated replica that prefills prompts one after the other and runs streams. On a slow replica, a stream
+/// is late if more than 8,000 tokens are prefilled within half a second of its time, since callers tolerate
+/// no longer gap.
 struct Replica {
   double slowness = 1;
-  std::deque<double> prompts;                    ///< tokens left
-  std::deque<double> times;                      ///< that the prompts have waited, ms
-  std::vector<std::pair<double, bool>> streams;  ///< ms left, late
-  std::deque<double> read;                       ///< by steps of 10 ms, half a second
-  double unread() const {
+  std::deque<double> prompts;                    ///< tokens left to prefill
+  std::deque<double> times;                      ///< time that each prompt has waited, ms
+  std::vector<std::pair<double, bool>> streams;  ///< remaining ms, whether the stream is late
+  std::deque<double> read;  ///< tokens prefilled per step of 10 ms, over the last half second
+  double backlog() const {
     double sum = 0;
     for (const double tokens : prompts) {
       sum += tokens;
@@ -61,31 +62,31 @@
   int streams_in_time = 0;
 };
 
-/// 12 captions of 2,900 unread tokens and 12 chats a second on a fast and two slow replicas, 60 s. The choice
-/// knows loads that are 400 ms old.
+/// Simulates 60 s of 12 calls a second with 2,900 uncached prompt tokens and 12 calls a second with a long
+/// stream, on one fast and two slow replicas. The placement uses loads that are 400 ms old.
 template <class Choose>
-Served play(std::uint64_t seed, Choose choose) {
+Served simulate(std::uint64_t seed, Choose choose) {
   constexpr double kStepMs = 10;
   constexpr double kTokensPerMs = 60;
   constexpr double kCallsPerSecond = 12;
   constexpr double kPromptTokens = 2'900;
   constexpr double kInTimeMs = 800;
-  constexpr int kLag = 40;
+  constexpr int kLoadAgeSteps = 40;
   Random random(seed);
   std::array<Replica, 3> replicas{Replica{1, {}, {}, {}, {}}, Replica{2.2, {}, {}, {}, {}},
                                   Replica{2.2, {}, {}, {}, {}}};
   std::array<double, 3> rates{};
-  std::deque<std::array<CallPlace, 3>> history;
+  std::deque<std::array<CallCandidate, 3>> history;
   Served served;
   for (int step = 0; step < 6'000; ++step) {
-    std::array<CallPlace, 3> now;
+    std::array<CallCandidate, 3> now;
     for (std::size_t i = 0; i < 3; ++i) {
       rates[i] *= 1 - kStepMs / 2'000;
-      now[i] = place(static_cast<double>(replicas[i].streams.size()), replicas[i].unread(), rates[i] / 2,
-                     replicas[i].slowness);
+      now[i] = candidate(static_cast<double>(replicas[i].streams.size()), replicas[i].backlog(), rates[i] / 2,
+                         replicas[i].slowness);
     }
     history.push_back(now);
-    if (history.size() > kLag) {
+    if (history.size() > kLoadAgeSteps) {
       history.pop_front();
     }
     for (const bool is_prompt : {true, false}) {
@@ -125,14 +126,14 @@
       if (replica.read.size() > 50) {
         replica.read.pop_front();
       }
-      double read_lately = 0;
+      double recently_prefilled = 0;
       for (const double tokens : replica.read) {
-        read_lately += tokens;
+        recently_prefilled += tokens;
       }
-      const bool held_up = replica.slowness > 1.5 && read_lately > 8'000;
+      const bool delayed = replica.slowness > 1.5 && recently_prefilled > 8'000;
       for (auto& [left, late] : replica.streams) {
         left -= kStepMs;
-        late = late || held_up;
+        late = late || delayed;
       }
       std::erase_if(replica.streams, [&served](const auto& stream) {
         const bool ended = stream.first <= 0;
@@ -144,9 +145,10 @@
   return served;
 }
 
-/// Before: each router goes by its own calls, so that over many routers calls spread evenly. Ten seeds: 0.33
-/// of the streams and 0.998 of the prompts in time before, 0.95 and 0.999 after.
-TEST_CASE("Long streams beside long prompts on a fast and two slow replicas: what callers get") {
+/// Guards against placing long streams beside long prompts on slow replicas. The reference spreads calls
+/// evenly, as many routers do that each consider only their own calls. With it, 0.33 of the streams and 0.998
+/// of the prompts are in time over ten seeds; placement by cost reaches 0.95 and 0.999.
+TEST_CASE("Placement by cost keeps long streams in time beside long prompts on replicas of uneven speed") {
   Served even;
   Served by_cost;
   const auto add = [](Served& sum, const Served& part) {
@@ -156,8 +158,8 @@
     sum.streams_in_time += part.streams_in_time;
   };
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    add(even, play(seed, [](const CallShape&, const auto&, Random& random) { return random.below(3); }));
-    add(by_cost, play(seed, [](const CallShape& call, const auto& places, Random& random) {
+    add(even, simulate(seed, [](const CallShape&, const auto&, Random& random) { return random.below(3); }));
+    add(by_cost, simulate(seed, [](const CallShape& call, const auto& places, Random& random) {
           std::size_t best = 0;
           double least = 0;
           for (std::size_t i = 0; i < places.size(); ++i) {
--- a/tests/calls/crash_test.cc
+++ b/tests/calls/crash_test.cc
@@ -3,22 +3,22 @@
 #include "calls/call_fixture.h"
 #include "quarantine/crash_ledger.h"
 
-/// What a router takes for proof that a call ended a replica, and what it does with such a call.
+/// Which events count as evidence that a call crashed a replica, and how such a call is handled.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 using quarantine::Standing;
 
-struct Crashing : CallFixture {
-  Crashing() {
+struct CrashFixture : CallFixture {
+  CrashFixture() {
     begin();
     addReplicas({replica("r1"), replica("r2"), replica("r3"), replica("r4"), replica("r5")});
     probe_outcome = ProbeOutcome::Ended;
   }
   Standing standing() { return router().crashLedger().standing(fingerprint); }
-  /// A record of another router, as a member tells it.
-  void tell(const std::vector<std::string>& ended, bool shares_all = false) {
+  /// Passes the crash record of another router, as forwarded by a member.
+  void receiveRecord(const std::vector<std::string>& ended, bool shares_all = false) {
     wire::CrashRecord record;
     record.call = fingerprint;
     for (const std::string& id : ended) {
@@ -26,8 +26,8 @@
     }
     take(router().receive({NodeName("control-1"), wire::CrashRecords{{record}, shares_all}}, now));
   }
-  /// Crash records that the router told members since the last look.
-  std::size_t told() {
+  /// Number of messages with crash records that the router has sent to members.
+  std::size_t sentRecords() {
     std::size_t count = 0;
     for (const Effect& effect : all) {
       const auto* send = std::get_if<wire::SendEffect>(&effect);
@@ -37,7 +37,7 @@
   }
 };
 
-/// How one sending ended, and whether it counts against the call.
+/// How an attempt ended, and whether that counts against the call.
 struct EvidenceCase {
   const char* name;
   AttemptFailure failure;
@@ -46,7 +46,7 @@
   std::size_t probes;
 };
 
-TEST_CASE("Only a replica that is found ended after it broke the call off counts against the call") {
+TEST_CASE("Only a replica found terminated after it broke off the call counts against the call") {
   const std::vector<EvidenceCase> cases = {
       {"the process ended", AttemptFailure::Unproved, ProbeOutcome::Ended, true, 1},
       {"the connection was reset, or the answer lost or cut short", AttemptFailure::Unproved,
@@ -57,7 +57,7 @@
   };
   for (const EvidenceCase& given : cases) {
     INFO(given.name);
-    Crashing fixture;
+    CrashFixture fixture;
     fixture.probe_outcome = given.outcome;
     fixture.call("/once/x");
     fixture.fail(given.failure);
@@ -66,8 +66,8 @@
   }
 }
 
-TEST_CASE("A call under which a third replica ends is refused, as one that has run, and sent no more") {
-  Crashing fixture;
+TEST_CASE("A call is refused as possibly run and not retried after a third replica crashed under it") {
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
   fixture.fail(AttemptFailure::Unproved);
@@ -79,10 +79,9 @@
   CHECK(fixture.count<SendAttemptEffect>() == 3);
 }
 
-TEST_CASE(
-    "A quarantined call that comes again is refused at once: not run, with the time until it may come") {
-  Crashing fixture;
-  fixture.tell({"a", "b", "c"});
+TEST_CASE("A repeated quarantined call is refused at once as not run, with the end of its quarantine") {
+  CrashFixture fixture;
+  fixture.receiveRecord({"a", "b", "c"});
   fixture.call("/model/x", "m0");
   REQUIRE(fixture.count<RefuseCallEffect>() == 1);
   const RefuseCallEffect refused = *fixture.last<RefuseCallEffect>();
@@ -101,16 +100,15 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE(
-    "Calls that wait or run unanswered when the third end is told are ended; a stream that runs isn't") {
-  Crashing fixture;
+TEST_CASE("A reported third crash ends waiting and unanswered calls but no stream in progress") {
+  CrashFixture fixture;
   fixture.call("/stream/x");
   const AttemptNumber streaming = fixture.attempt();
   fixture.event(1);
   fixture.call("/safe/x");
   const AttemptNumber running = fixture.attempt();
   fixture.call("/model/x", "m0");
-  fixture.tell({"a", "b", "c"});
+  fixture.receiveRecord({"a", "b", "c"});
   CHECK(fixture.count<RefuseCallEffect>() == 2);
   REQUIRE(fixture.count<CancelAttemptEffect>() == 1);
   CHECK(fixture.last<CancelAttemptEffect>()->attempt == running);
@@ -119,9 +117,9 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("Replicas that ended don't use up a call's attempts, so that calls beside a crashing one go on") {
-  Crashing fixture;
-  fixture.tell({});
+TEST_CASE("Crashed replicas don't use up the attempts of calls that ran beside the crashing one") {
+  CrashFixture fixture;
+  fixture.receiveRecord({});
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
   fixture.fail(AttemptFailure::Unproved);
@@ -133,8 +131,8 @@
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("A call that was broken off waits for the probe of its replica, not beyond its own time") {
-  Crashing fixture;
+TEST_CASE("A call that was broken off waits for the probe of its replica, but not beyond its deadline") {
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.take(
       fixture.router().onFailure(fixture.attempt(), AttemptFailure::Unproved, "broken off", fixture.now));
@@ -151,8 +149,8 @@
   CHECK(fixture.count<SendAttemptEffect>() == 2);
 }
 
-TEST_CASE("One probe answers for all calls that a replica broke off, also for one whose caller has left") {
-  Crashing fixture;
+TEST_CASE("One probe decides for all calls that a replica broke off, even if a caller has disconnected") {
+  CrashFixture fixture;
   fixture.addReplicas({});
   std::vector<AttemptNumber> attempts;
   std::vector<CallNumber> calls;
@@ -177,25 +175,25 @@
   }
 }
 
-TEST_CASE("Members hear of an end and of an answer that refutes it, and of no other call") {
-  Crashing fixture;
+TEST_CASE("Crashes and the responses that refute them are reported to members, other calls aren't") {
+  CrashFixture fixture;
   fixture.call("/safe/x");
   fixture.answer(200);
-  CHECK(fixture.told() == 0);
+  CHECK(fixture.sentRecords() == 0);
   fixture.call("/safe/x");
   fixture.fail(AttemptFailure::Unproved);
-  CHECK(fixture.told() == 2);
+  CHECK(fixture.sentRecords() == 2);
   fixture.answer(200);
-  CHECK(fixture.told() == 4);
+  CHECK(fixture.sentRecords() == 4);
   CHECK(fixture.standing() == Standing::Unsuspected);
 }
 
-TEST_CASE("A member that shares less than the router is told what it lacks, one that shares the same isn't") {
-  Crashing fixture;
-  fixture.tell({"a", "b"}, true);
-  CHECK(fixture.told() == 0);
+TEST_CASE("Shared crash records are sent only to a member that lacks some of them") {
+  CrashFixture fixture;
+  fixture.receiveRecord({"a", "b"}, true);
+  CHECK(fixture.sentRecords() == 0);
   fixture.take(fixture.router().receive({NodeName("control-1"), wire::CrashRecords{{}, true}}, fixture.now));
-  CHECK(fixture.told() == 1);
+  CHECK(fixture.sentRecords() == 1);
 }
 
 }  // namespace
--- a/tests/calls/replica_credit_test.cc
+++ b/tests/calls/replica_credit_test.cc
@@ -3,17 +3,17 @@
 
 #include "calls/call_fixture.h"
 
-/// Calls that need a credit under a replica's limit, at one router with a scripted leader.
+/// Calls that need a credit under a replica's rate limit, at one router with a scripted leader.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 
-struct LimitedCopy : CallFixture {
-  LimitedCopy() {
+struct LimitedReplicaFixture : CallFixture {
+  LimitedReplicaFixture() {
     begin();
     addReplicas({holder("e1")});
-    hearLeader();
+    receiveLeaderUpdate();
     call("/model/x", "m1");
     ReplicaNotice limited;
     limited.calls_per_second = 1;
@@ -25,13 +25,13 @@
     replica.held = {{ModelName("m1"), {}}};
     return replica;
   }
-  void hearLeader() {
+  void receiveLeaderUpdate() {
     wire::ServiceUpdate update;
     update.base = LogIndex{(std::uint64_t{1} << 40) | 1};
     update.grants_limits = true;
     send(update);
   }
-  /// The leader answers the last ask.
+  /// Passes the leader's decision on the last credit request.
   void decide(bool granted, std::int64_t wait_ms) {
     const wire::LimitRequest* request = lastRequest();
     REQUIRE(request != nullptr);
@@ -50,8 +50,8 @@
   }
 };
 
-TEST_CASE("A call with a credit for a replica that leaves before it may be used ends in time") {
-  LimitedCopy fixture;
+TEST_CASE("A call with a credit for a replica that starts draining ends in time and returns the credit") {
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   ReplicaNotice leaving;
@@ -64,8 +64,8 @@
   CHECK(fixture.sentTo("e1") == 1);
 }
 
-TEST_CASE("A call waits for its credit and is sent when that may be used") {
-  LimitedCopy fixture;
+TEST_CASE("A call waits until its credit may be used") {
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   fixture.pass(190ms);
@@ -74,8 +74,8 @@
   CHECK(fixture.sentTo("e1") == 2);
 }
 
-TEST_CASE("A call without room is refused at once with a time at which there is some") {
-  LimitedCopy fixture;
+TEST_CASE("A call without available credit is refused at once with the time of the next credit") {
+  LimitedReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   fixture.decide(false, 1500);
   const auto* refusal = fixture.last<RefuseCallEffect>();
@@ -86,8 +86,8 @@
   CHECK(*refusal->retry_after >= 1500ms);
 }
 
-TEST_CASE("A call that leaves before it uses its credit gives it back, also when its sending wasn't made") {
-  LimitedCopy fixture;
+TEST_CASE("An unused credit is returned if the caller disconnects or the call wasn't sent") {
+  LimitedReplicaFixture fixture;
   const CallNumber gone = fixture.call("/model/x", "m1");
   fixture.decide(true, 200);
   fixture.take(fixture.router().onCallerGone(gone, fixture.now));
@@ -100,38 +100,38 @@
   CHECK(fixture.lastRequest()->returned.size() == 1);
 }
 
-TEST_CASE("Without a leader calls that need a credit wait for one no longer than for a replica") {
-  LimitedCopy fixture;
+TEST_CASE("Without a leader, calls that need a credit don't wait longer than for a replica") {
+  LimitedReplicaFixture fixture;
   fixture.pass(3s);
   fixture.call("/model/x", "m1");
   fixture.pass(2s);
   CHECK(fixture.router().openCalls() == 0);
 }
 
-TEST_CASE("A limit that the leader tells of is kept until it tells of the end, by whichever leader") {
-  LimitedCopy fixture;
-  wire::RoutedReplica told = LimitedCopy::holder("e2");
-  told.calls_per_second = 2;
-  fixture.addReplicas({told});
+TEST_CASE("A limit published by the leader is kept until a leader publishes its end") {
+  LimitedReplicaFixture fixture;
+  wire::RoutedReplica listed = LimitedReplicaFixture::holder("e2");
+  listed.calls_per_second = 2;
+  fixture.addReplicas({listed});
   CHECK(fixture.router().replicaLimits().limitOf(ReplicaId("e2")) == 2.0);
-  told.calls_per_second.reset();
-  fixture.addReplicas({told});
+  listed.calls_per_second.reset();
+  fixture.addReplicas({listed});
   CHECK(fixture.router().replicaLimits().isLimited(ReplicaId("e2")));
-  told.limit_ended = true;
-  fixture.addReplicas({told});
+  listed.limit_ended = true;
+  fixture.addReplicas({listed});
   CHECK_FALSE(fixture.router().replicaLimits().isLimited(ReplicaId("e2")));
 }
 
-TEST_CASE("A new life of a replica is bound by no limit of the former one") {
+TEST_CASE("A new incarnation of a replica doesn't inherit the rate limit") {
   CallFixture fixture;
   fixture.begin();
-  fixture.addReplicas({LimitedCopy::holder("e1@1000")});
+  fixture.addReplicas({LimitedReplicaFixture::holder("e1@1000")});
   fixture.call("/model/x", "m1");
   ReplicaNotice limited;
   limited.calls_per_second = 0;
   fixture.notice(limited);
   CHECK(fixture.router().replicaLimits().isLimited(ReplicaId("e1@1000")));
-  fixture.addReplicas({LimitedCopy::holder("e1@2000")});
+  fixture.addReplicas({LimitedReplicaFixture::holder("e1@2000")});
   CHECK(fixture.router().replicaLimits().size() == 0);
 }
 
--- a/tests/calls/replica_notice_test.cc
+++ b/tests/calls/replica_notice_test.cc
@@ -3,28 +3,22 @@
 
 #include "calls/call_fixture.h"
 
-// Callers of rarely used models got 503 for seconds, and replicas that had asked for time got three and four
-// further calls within it.
+// Guards against ignoring the backoff that an overloaded replica requests. Callers of rarely used models got
+// 503 for seconds, and replicas in a backoff got three to four further calls.
 //
-// A replica with more work than it could bear refused a call with 503 and asked its router for 3 s without
-// calls. It alone held the call's model. The router left it out for 100 ms, sent the call there again, twice,
-// and told the caller after 211 ms to come back in 200 ms, though the place stayed shut for seconds. The next
-// call for the model did the same.
-//
-// Cause: nobody read what the replica asked for. What a replica says in an answer was heard by the attempt
-// that got the answer, as "refused", and by nothing that chooses replicas.
-//
-// Evidence: the router's log has the three sendings of one call 104 ms apart, which is the fixed pause plus
-// the way there and back; three replicas, of which two are known to have asked for time, turned away all 88
-// calls that reached them while it lasted.
+// A replica, the only one with the call's model, refused a call with 503 and requested a backoff of 3 s. The
+// router excluded it for only 100 ms, sent the call there two more times, 104 ms apart including the round
+// trip, and refused the caller after 211 ms with a retry time of 200 ms. The reason was that only the attempt
+// handled the response, as a refusal, and replica selection ignored the notice. The replicas refused all 88
+// calls that reached them during their backoff.
 namespace ferryrock::calls {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// One replica holds the model of the calls.
-struct OnlyCopy : CallFixture {
-  OnlyCopy() {
+/// A single replica holds the model of the calls.
+struct SingleReplicaFixture : CallFixture {
+  SingleReplicaFixture() {
     begin();
     addReplicas({holder("e1")});
   }
@@ -33,8 +27,8 @@
     replica.held = {{ModelName("m1"), {}}};
     return replica;
   }
-  /// A new leader lists all replicas anew, knowing nothing of what they said to routers.
-  void listAnew(const std::vector<wire::RoutedReplica>& replicas) {
+  /// Lists all replicas afresh, as a new leader does that doesn't know their notices to routers.
+  void relistAll(const std::vector<wire::RoutedReplica>& replicas) {
     wire::ServiceUpdate update;
     update.complete = true;
     update.replicas = replicas;
@@ -42,16 +36,16 @@
   }
 };
 
-TEST_CASE("A replica that asked for time gets no call until it is over") {
-  OnlyCopy fixture;
+TEST_CASE("A replica gets no call until the backoff that it requested has ended") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   CHECK(fixture.sentTo("e1") == 1);
   for (int i = 0; i < 28; ++i) {
     fixture.call("/model/x", "m1");
     fixture.pass(100ms);
     if (i == 10) {
-      fixture.listAnew({OnlyCopy::holder("e1")});
+      fixture.relistAll({SingleReplicaFixture::holder("e1")});
     }
   }
   CHECK(fixture.sentTo("e1") == 1);
@@ -60,9 +54,9 @@
   CHECK(fixture.sentTo("e1") > 1);
 }
 
-TEST_CASE("A replica that said in an answer that it leaves gets no further call") {
-  OnlyCopy fixture;
-  fixture.addReplicas({OnlyCopy::holder("e1"), OnlyCopy::holder("e2")});
+TEST_CASE("A replica that announced its draining in a response gets no further call") {
+  SingleReplicaFixture fixture;
+  fixture.addReplicas({SingleReplicaFixture::holder("e1"), SingleReplicaFixture::holder("e2")});
   fixture.call("/model/x", "m1");
   const std::string leaving = fixture.last<SendAttemptEffect>()->replica.value;
   fixture.notice({true, std::nullopt, ""});
@@ -71,41 +65,41 @@
     fixture.call("/model/x", "m1");
     fixture.answer(200);
     if (i == 10) {
-      fixture.listAnew({OnlyCopy::holder("e1"), OnlyCopy::holder("e2")});
+      fixture.relistAll({SingleReplicaFixture::holder("e1"), SingleReplicaFixture::holder("e2")});
     }
   }
   CHECK(fixture.sentTo(leaving) == 1);
   CHECK(fixture.count<SendAttemptEffect>() == 21);
 }
 
-/// e2 holds the model as well.
-struct TwoCopies : OnlyCopy {
-  TwoCopies() { addReplicas({holder("e2")}); }
+/// e2 also holds the model.
+struct TwoReplicaFixture : SingleReplicaFixture {
+  TwoReplicaFixture() { addReplicas({holder("e2")}); }
 };
 
-TEST_CASE("While one copy wants no calls the other one gets them") {
-  TwoCopies fixture;
+TEST_CASE("While one replica is in a backoff, the other one gets the calls") {
+  TwoReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
-  fixture.refuseFor(3s);
+  const std::string refusing = fixture.last<SendAttemptEffect>()->replica.value;
+  fixture.refuseWithBackoff(3s);
   for (int i = 0; i < 10; ++i) {
     fixture.answer(200);
     fixture.call("/model/x", "m1");
   }
-  CHECK(fixture.sentTo(asking) == 1);
+  CHECK(fixture.sentTo(refusing) == 1);
   CHECK(fixture.count<SendAttemptEffect>() == 12);
   CHECK(fixture.count<RefuseCallEffect>() == 0);
 }
 
-TEST_CASE("A call that can still be in time waits for the end, a late one is refused at once until then") {
-  OnlyCopy fixture;
+TEST_CASE("A call waits for the end of a backoff if it can be in time, else it is refused at once") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(100ms);
+  fixture.refuseWithBackoff(100ms);
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
   fixture.pass(100ms);
   CHECK(fixture.sentTo("e1") == 2);
 
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   const auto* refusal = fixture.last<RefuseCallEffect>();
   REQUIRE(refusal != nullptr);
   CHECK(refusal->code == ResultCode::ReplicaBackoff);
@@ -115,27 +109,27 @@
   CHECK(*refusal->retry_after <= 4500ms);
 }
 
-TEST_CASE("Callers that come within a backoff are told to come back over a time, not at one instant") {
-  OnlyCopy fixture;
+TEST_CASE("Retry times of callers that arrive during a backoff are spread over a period") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(4s);
+  fixture.refuseWithBackoff(4s);
   Duration least = Duration::max();
   Duration most = Duration::zero();
   for (int i = 0; i < 50; ++i) {
     fixture.call("/model/x", "m1");
-    const Duration told = *fixture.last<RefuseCallEffect>()->retry_after;
-    least = std::min(least, told);
-    most = std::max(most, told);
+    const Duration delay = *fixture.last<RefuseCallEffect>()->retry_after;
+    least = std::min(least, delay);
+    most = std::max(most, delay);
   }
   CHECK(least >= 4s);
   CHECK(most - least > 800ms);
   CHECK(fixture.count<SendAttemptEffect>() == 1);
 }
 
-TEST_CASE("Of the calls that waited for the end of a backoff one goes first, and the rest once it is taken") {
-  OnlyCopy fixture;
+TEST_CASE("After a backoff one waiting call is sent first, and more when it is accepted") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(100ms);
+  fixture.refuseWithBackoff(100ms);
   for (int i = 0; i < 5; ++i) {
     fixture.call("/model/x", "m1");
   }
@@ -145,31 +139,30 @@
   CHECK(fixture.sentTo("e1") == 4);
 }
 
-/// Two calls are under way when the second one's answer asks for time.
-TEST_CASE("Answers to calls that were sent before are delivered, and end no backoff") {
-  OnlyCopy fixture;
+/// Two calls are in flight when the response to the second one requests a backoff.
+TEST_CASE("Responses to earlier calls are delivered and don't end a backoff") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
   const AttemptNumber earlier = fixture.attempt();
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   fixture.take(fixture.router().onAnswer(earlier, {200, false}, fixture.now));
   CHECK(fixture.count<DeliverAnswerEffect>() == 1);
   fixture.call("/model/x", "m1");
   CHECK(fixture.count<SendAttemptEffect>() == 2);
 }
 
-TEST_CASE(
-    "A replica that asked for time isn't taken for unsound, with or without the mark that it ran nothing") {
+TEST_CASE("A requested backoff doesn't count as a failure, whether or not the call is marked as not run") {
   for (const bool unrun : {true, false}) {
     INFO(unrun);
-    OnlyCopy fixture;
+    SingleReplicaFixture fixture;
     for (int i = 0; i < 5; ++i) {
       fixture.call("/model/x", "m1");
       fixture.notice({false, 1s, ""});
       fixture.answer(503, unrun);
       fixture.pass(1100ms);
     }
-    fixture.addReplicas({OnlyCopy::holder("e2")});
+    fixture.addReplicas({SingleReplicaFixture::holder("e2")});
     fixture.all.clear();
     for (int i = 0; i < 20; ++i) {
       fixture.call("/model/x", "m1");
@@ -180,34 +173,34 @@
   }
 }
 
-TEST_CASE("A new life of a replica is bound by nothing that the former one said") {
+TEST_CASE("A new incarnation of a replica isn't bound by the notices of the previous one") {
   CallFixture fixture;
   fixture.begin();
-  fixture.addReplicas({OnlyCopy::holder("e1@1000")});
+  fixture.addReplicas({SingleReplicaFixture::holder("e1@1000")});
   fixture.call("/model/x", "m1");
   fixture.notice({true, 3s, ""});
   fixture.answer(503, true);
   fixture.call("/model/x", "m1");
   CHECK(fixture.count<SendAttemptEffect>() == 1);
-  fixture.addReplicas({OnlyCopy::holder("e1@2000")});
+  fixture.addReplicas({SingleReplicaFixture::holder("e1@2000")});
   fixture.call("/model/x", "m1");
   CHECK(fixture.sentTo("e1@2000") > 0);
 }
 
-TEST_CASE("A stream that breaks off goes on at another replica than one that wants no calls") {
-  TwoCopies fixture;
+TEST_CASE("A broken stream isn't resumed on a replica in a backoff") {
+  TwoReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  const std::string asking = fixture.last<SendAttemptEffect>()->replica.value;
-  fixture.refuseFor(3s);
+  const std::string refusing = fixture.last<SendAttemptEffect>()->replica.value;
+  fixture.refuseWithBackoff(3s);
   fixture.event(1);
   fixture.fail(AttemptFailure::Unproved);
-  CHECK(fixture.sentTo(asking) == 1);
+  CHECK(fixture.sentTo(refusing) == 1);
 }
 
-TEST_CASE("A call whose only copy wants no calls counts as waiting demand for the model") {
-  OnlyCopy fixture;
+TEST_CASE("A call whose only replica is in a backoff is reported as waiting demand") {
+  SingleReplicaFixture fixture;
   fixture.call("/model/x", "m1");
-  fixture.refuseFor(3s);
+  fixture.refuseWithBackoff(3s);
   fixture.all.clear();
   fixture.pass(1s);
   std::uint32_t waiting = 0;
@@ -221,13 +214,13 @@
   CHECK(waiting == 1);
 }
 
-TEST_CASE("Where each that was asked has refused, the caller hears when the first takes calls again") {
+TEST_CASE("A caller refused by all replicas gets the earliest end of their backoffs") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("r1"), CallFixture::replica("r2"), CallFixture::replica("r3")});
   fixture.call("/once/x");
-  for (const Duration asked : {5s, 3s, 4s}) {
-    fixture.refuseFor(asked);
+  for (const Duration duration : {5s, 3s, 4s}) {
+    fixture.refuseWithBackoff(duration);
   }
   const auto* refusal = fixture.last<RefuseCallEffect>();
   REQUIRE(refusal != nullptr);
--- a/tests/calls/wait_policy_test.cc
+++ b/tests/calls/wait_policy_test.cc
@@ -13,69 +13,70 @@
 
 constexpr TimePoint kArrived{1000s};
 
-/// A call with a target of 1 s and 20 s in all, that nobody has had.
-WaitingCall untouched() {
+/// A call with a target latency of 1 s and a time limit of 20 s that no replica has received.
+WaitingCall notStartedCall() {
   return {kArrived, kArrived + 20s, 1s, std::nullopt, true};
 }
 
-TEST_CASE("A call waits for a model within a share of its time and of its caller's patience") {
-  WaitingCall call = untouched();
+TEST_CASE("A call waits for a model within a share of its time limit and of its caller's idle timeout") {
+  WaitingCall call = notStartedCall();
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived) == kArrived + 9400ms);
-  call.patience = 4s;
+  call.caller_idle_timeout = 4s;
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived) == kArrived + 3400ms);
   CHECK(waitLimit(call, ChoiceFailure::NotHeld, kArrived + 5s) == kArrived + 5s);
 }
 
-TEST_CASE("A call waits for a place only as long as it may be in time elsewhere") {
-  CHECK(waitLimit(untouched(), ChoiceFailure::Refusing, kArrived) == kArrived + 220ms);
-  CHECK(waitLimit(untouched(), ChoiceFailure::NoReplica, kArrived) == kArrived + 220ms);
-  WaitingCall call = untouched();
+TEST_CASE("A call waits for a free slot only as long as it may be in time elsewhere") {
+  CHECK(waitLimit(notStartedCall(), ChoiceFailure::Refusing, kArrived) == kArrived + 220ms);
+  CHECK(waitLimit(notStartedCall(), ChoiceFailure::NoReplica, kArrived) == kArrived + 220ms);
+  WaitingCall call = notStartedCall();
   call.deadline = kArrived + 100ms;
   CHECK(waitLimit(call, ChoiceFailure::NoReplica, kArrived) == kArrived + 100ms);
 }
 
-struct AbsenceCase {
+struct RetryCase {
   const char* name;
   Duration ready;
   Duration now;
-  bool untouched;
-  bool away;
+  bool not_started;
+  bool refused;
 };
 
-TEST_CASE("A caller is sent away when its model is late, the refusal is prompt and it has the time") {
-  const std::vector<AbsenceCase> cases = {
+TEST_CASE(
+    "A caller is refused with a retry time if the load is late, the refusal prompt and a retry possible") {
+  const std::vector<RetryCase> cases = {
       {"late load", 3s, 20ms, true, true},
       {"in time", 800ms, 20ms, true, false},
       {"not prompt any more", 3s, 300ms, true, false},
       {"no time to come back", 7s, 20ms, true, false},
       {"a replica has had it", 3s, 20ms, false, false},
   };
-  for (const AbsenceCase& given : cases) {
+  for (const RetryCase& given : cases) {
     INFO(given.name);
-    WaitingCall call = untouched();
-    call.untouched = given.untouched;
-    const auto absence = comeBackAfter(call, kArrived + given.ready, kArrived + given.now);
-    CHECK(absence.has_value() == given.away);
-    if (absence) {
-      CHECK(*absence > given.ready - given.now);
-      CHECK(*absence < given.ready - given.now + 500ms);
+    WaitingCall call = notStartedCall();
+    call.not_started = given.not_started;
+    const auto delay = retryDelayForLateModel(call, kArrived + given.ready, kArrived + given.now);
+    CHECK(delay.has_value() == given.refused);
+    if (delay) {
+      CHECK(*delay > given.ready - given.now);
+      CHECK(*delay < given.ready - given.now + 500ms);
     }
   }
 }
 
-TEST_CASE("A call whose model comes later than it may wait is refused whenever that is known") {
-  const WaitingCall call = untouched();  // it may wait for 9.4 s
-  CHECK_FALSE(refusedUntil(call, kArrived + 9s, kArrived).has_value());
-  const auto early = refusedUntil(call, kArrived + 30s, kArrived);
+TEST_CASE("A call whose model is ready after the permitted wait is refused as soon as that is known") {
+  const WaitingCall call = notStartedCall();  // the permitted wait is 9.4 s
+  CHECK_FALSE(retryDelayIfUnservable(call, kArrived + 9s, kArrived).has_value());
+  const auto early = retryDelayIfUnservable(call, kArrived + 30s, kArrived);
   REQUIRE(early.has_value());
   CHECK(*early >= 30s);
-  CHECK(refusedUntil(call, kArrived + 12s, kArrived + 5s).has_value());
+  CHECK(retryDelayIfUnservable(call, kArrived + 12s, kArrived + 5s).has_value());
   WaitingCall started = call;
-  started.untouched = false;
-  CHECK_FALSE(refusedUntil(started, kArrived + 30s, kArrived).has_value());
+  started.not_started = false;
+  CHECK_FALSE(retryDelayIfUnservable(started, kArrived + 30s, kArrived).has_value());
 }
 
-TEST_CASE("A call that can't be served isn't held, and its model stays wanted until the caller may be back") {
+TEST_CASE("A call that can't be served isn't held, and its model stays in demand until the retry") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
@@ -96,7 +97,7 @@
   CHECK(status.wants[0].waiting == 1);
 }
 
-TEST_CASE("A model's coming is known until it is past, and its callers are expected for a while longer") {
+TEST_CASE("The expected load time is kept until it is past, and callers are expected a little longer") {
   ExpectedLoads loads;
   const ServiceName service("llm");
   const ModelName model("m1");
@@ -104,14 +105,14 @@
   CHECK(loads.readyAt(service, model, kArrived + 1s) == kArrived + 2s);
   CHECK_FALSE(loads.readyAt(service, model, kArrived + 2s).has_value());
   CHECK_FALSE(loads.readyAt(service, ModelName("m2"), kArrived).has_value());
-  loads.expectBack(service, model, kArrived + 2s);
-  loads.expectBack(service, model, kArrived + 3s);
-  CHECK(loads.expectedBack(kArrived + 2500ms).at({service, model}) == 2);
-  CHECK(loads.expectedBack(kArrived + 3s).at({service, model}) == 1);
-  CHECK(loads.expectedBack(kArrived + 4s).empty());
+  loads.addReturningCaller(service, model, kArrived + 2s);
+  loads.addReturningCaller(service, model, kArrived + 3s);
+  CHECK(loads.returningCallers(kArrived + 2500ms).at({service, model}) == 2);
+  CHECK(loads.returningCallers(kArrived + 3s).at({service, model}) == 1);
+  CHECK(loads.returningCallers(kArrived + 4s).empty());
 }
 
-TEST_CASE("A call whose model is being loaded is refused at once with the time, and stays wanted") {
+TEST_CASE("A call whose model is being loaded is refused at once with a retry time and stays in demand") {
   CallFixture fixture;
   fixture.begin();
   fixture.addReplicas({CallFixture::replica("e1", "llm")});
@@ -133,7 +134,7 @@
   CHECK(status.wants[0].waiting == 1);
 }
 
-TEST_CASE("A slow replica is used only while the fast ones read prompts") {
+TEST_CASE("A replica with long event gaps is used only while the fast ones prefill") {
   ReplicaTable table(ZoneName(""), 3);
   wire::ServiceUpdate update;
   for (const char* id : {"fast", "slow"}) {
@@ -145,8 +146,8 @@
   Replica& fast = *table.find(ReplicaId("fast"));
   Replica& slow = *table.find(ReplicaId("slow"));
   for (int i = 0; i < 5; ++i) {
-    fast.notePause(ModelName("m1"), i == 2 ? 140ms : 20ms);
-    slow.notePause(ModelName("m1"), 27ms);
+    fast.recordGap(ModelName("m1"), i == 2 ? 140ms : 20ms);
+    slow.recordGap(ModelName("m1"), 27ms);
   }
   ReplicaNeed need;
   need.service = ServiceName("llm");
