--- a/src/service_process/call_dialect.cc
+++ b/src/service_process/call_dialect.cc
@@ -25,7 +25,7 @@
   return left.size() == right.size() && ::strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
-/// True when the Connection header lists the name.
+/// True if the comma-separated value of a Connection header contains the name, without regard to case.
 bool listed(std::string_view connection, std::string_view name) {
   while (!connection.empty()) {
     const std::size_t comma = connection.find(',');
--- a/src/service_process/call_router_shell.cc
+++ b/src/service_process/call_router_shell.cc
@@ -8,16 +8,17 @@
 namespace ferryrock::service_process {
 namespace {
 
-/// Answers end this much before the limit of a planned stop.
+/// Responses must end this long before the time limit of a planned stop.
 constexpr Duration kStopMargin = std::chrono::milliseconds(600);
-/// Messages queued for one control member. Statuses that wait longer than a moment are of no use to it: the
-/// next one tells the same anew.
+/// Send queue limit per control member, in messages. The queue is short because each status report supersedes
+/// the one before, so delayed reports are useless.
 constexpr std::size_t kQueuedMessages = 16;
 constexpr std::size_t kUnreceivedMessages = 64;
 constexpr Duration kStopCheck = std::chrono::milliseconds(100);
-/// Callers keep connections for a while; the server closes them later than they stop using them.
+/// Longer than callers keep an idle connection in use, so that the server doesn't close one that a caller is
+/// about to reuse.
 constexpr Duration kIdleTimeout = std::chrono::seconds(60);
-/// Keys are obeyed for this much less than the limit, for timers and clocks that run unevenly.
+/// Keys expire this long before the revocation limit, to allow for timer delay and clock drift.
 constexpr Duration kRevocationMargin = std::chrono::milliseconds(250);
 constexpr std::size_t kMaximumBodyBytes = std::size_t{8} << 20;
 
@@ -151,7 +152,8 @@
   transport_->setPeers(std::move(peers));
 }
 
-/// Re-arms only for an earlier instant: a timer that fires too early costs less than setting it each time.
+/// Re-arms the timer only for an earlier deadline: a timer that fires too early costs less than setting it
+/// after each event.
 void CallRouterShell::armTimer() {
   const TimePoint deadline = router_.nextDeadline();
   if (deadline >= armed_until_) {
--- a/src/service_process/call_router_shell.h
+++ b/src/service_process/call_router_shell.h
@@ -15,17 +15,18 @@
 
 namespace ferryrock::service_process {
 
-/// One running router of calls: all its parts on one dispatcher.
+/// A running call router process. All its parts run on one dispatcher.
 class CallRouterShell {
  public:
-  /// Starts listening. Throws Error for what it can't start with.
+  /// Starts listening. Throws Error if a socket can't be opened or a setting is invalid.
   CallRouterShell(event::Dispatcher& dispatcher, CallRouterProcessSettings settings,
                   const CallDialect& dialect, EventLog& log);
   ~CallRouterShell();
 
-  /// Sends callers elsewhere, lets the calls end, then calls back once.
+  /// Begins to drain: callers are directed to other routers and open calls may end. Calls on_stopped once,
+  /// when the router has drained or the time limit has passed.
   void beginStop(event::Callback on_stopped);
-  /// Takes the seeds of fresh settings.
+  /// Adds the seeds of reloaded settings and connects to them.
   void replaceSeeds(const CallRouterProcessSettings& fresh);
 
   const CallRouterProcessSettings& settings() const { return settings_; }
@@ -69,7 +70,7 @@
   std::size_t connected_members_ = 0;
   TimePoint armed_until_ = TimePoint::max();
   std::optional<TimePoint> stop_began_;
-  bool closed_ = false;  ///< nothing new is let in any more
+  bool closed_ = false;  ///< the listening socket is closed
   event::Callback on_stopped_;
 };
 
--- a/src/service_process/call_server.h
+++ b/src/service_process/call_server.h
@@ -10,21 +10,21 @@
 
 namespace ferryrock::service_process {
 
-/// What callers do; called on the dispatcher's thread.
+/// Events of the callers' side. Called on the dispatcher's thread.
 struct CallerCallbacks {
   std::function<void(calls::CallRequest)> on_call;
   std::function<void(calls::CallNumber)> on_caller_gone;
 };
 
-/// Callers' end of the calls over HTTP: takes them in, keeps their bytes, and writes what the router decides.
-/// Used by one thread.
+/// HTTP server for callers: accepts calls, stores their content until they end, and writes the responses that
+/// the router decides on. Used by one thread.
 class CallServer {
  public:
   CallServer(event::Dispatcher& dispatcher, const http::ServerSettings& settings, const CallDialect& dialect,
              CallerCallbacks callbacks);
   ~CallServer();
 
-  /// nullptr: the call has ended.
+  /// Returns nullptr if the call has ended.
   const CallContent* contentOf(calls::CallNumber call) const;
 
   void deliver(calls::CallNumber call, const HttpAnswer& answer);
@@ -43,7 +43,7 @@
   };
 
   void handle(http::Request request, const http::ResponseWriterPtr& response);
-  /// Takes the call out; nullptr response: it is unknown.
+  /// Removes the call and returns its response writer; nullptr if the call is unknown.
   http::ResponseWriterPtr take(calls::CallNumber call);
 
   const CallDialect& dialect_;
--- a/src/service_process/evacuation_api.h
+++ b/src/service_process/evacuation_api.h
@@ -7,15 +7,15 @@
 
 namespace ferryrock::service_process {
 
-/// Operators' interface to zones that are taken out of use:
+/// HTTP interface for operators to evacuate zones:
 ///
-///   GET  /api/evacuations          {"zones": ["..."]}, as far as the member that is asked knows
-///   POST /api/evacuations/start    {"zone": "..."}: its replicas get no new calls and no models
-///   POST /api/evacuations/stop     {"zone": "..."}: given back
+///   GET  /api/evacuations          {"zones": ["..."]}: the evacuated zones that this member knows of
+///   POST /api/evacuations/start    {"zone": "..."}: the zone's replicas get no new calls and no models
+///   POST /api/evacuations/stop     {"zone": "..."}: ends the evacuation
 ///
-/// A change is answered with the same list once it outlives the loss of as many disks as are borne. A member
-/// that doesn't lead names the leader. False if the request is for something else. Throws Error for a body
-/// that can't be read.
+/// A change is answered with the updated list after it is committed, so that it survives the loss of as many
+/// disks as the settings tolerate. A member that isn't the leader responds with an error and the leader's
+/// URL. Returns false if the request is for another path or method. Throws Error if the body is malformed.
 bool answerEvacuations(ServiceControlShell& shell, const http::Request& request,
                        const http::ResponseWriterPtr& response);
 
--- a/src/service_process/event_splitter.cc
+++ b/src/service_process/event_splitter.cc
@@ -6,7 +6,7 @@
 namespace ferryrock::service_process {
 namespace {
 
-/// Length of the first event with the empty line that ends it; npos: it isn't whole.
+/// Length of the first event including the empty line that terminates it; npos if the event is incomplete.
 std::size_t eventLength(std::string_view bytes) {
   std::size_t line = 0;
   while (line < bytes.size()) {
--- a/src/service_process/event_splitter.h
+++ b/src/service_process/event_splitter.h
@@ -7,24 +7,24 @@
 
 namespace ferryrock::service_process {
 
-/// One whole event of a text/event-stream, its bytes as they came.
+/// One complete event of a text/event-stream, with its bytes as received.
 struct StreamEvent {
   std::optional<std::uint64_t> id;
   std::string bytes;
 };
 
-/// Cuts a stream into whole events. Used by one thread.
+/// Splits a byte stream into complete events. Used by one thread.
 class EventSplitter {
  public:
   void add(std::string_view bytes) { buffer_.append(bytes); }
-  /// The next whole event; nullopt until more bytes have come.
+  /// The next complete event; nullopt if more bytes are needed.
   std::optional<StreamEvent> next();
-  /// Bytes of an event that isn't whole.
+  /// Number of buffered bytes that belong to an incomplete event.
   std::size_t unfinishedBytes() const { return buffer_.size() - position_; }
 
  private:
   std::string buffer_;
-  std::size_t position_ = 0;  ///< of the first byte that wasn't handed out
+  std::size_t position_ = 0;  ///< offset of the first byte that next() hasn't returned
 };
 
 }  // namespace ferryrock::service_process
--- a/src/service_process/member_identity.cc
+++ b/src/service_process/member_identity.cc
@@ -10,7 +10,7 @@
 
 constexpr const char* kFile = "identity";
 constexpr const char* kTemporaryFile = "identity.new";
-/// Identities stay positive as signed numbers.
+/// Limits identities to 62 bits, so that they are positive as signed 64-bit numbers.
 constexpr std::uint64_t kIdentityMask = (std::uint64_t{1} << 62) - 1;
 
 MemberId identityFrom(std::uint64_t number) {
--- a/src/service_process/member_identity.h
+++ b/src/service_process/member_identity.h
@@ -9,24 +9,25 @@
 
 namespace ferryrock::service_process {
 
-/// Who a control process is. Drawn once on an empty disk and kept there: a process whose disk was emptied has
-/// a new identity.
+/// Identity of a control process. Generated once, when the data folder is empty, and stored there: a process
+/// whose disk was wiped gets a new identity.
 struct MemberIdentity {
   MemberId id;
-  /// The first members of the cell, for a process that helped to form it; empty for one that joins.
+  /// The initial members of the cell if this process is a founder; empty if it joins an existing cell.
   std::vector<wire::Member> founders;
   FERRYROCK_FIELDS(MemberIdentity, id, founders)
 };
 
-/// A control process that is asked first: its internal address, and where operators reach it.
+/// A control process that is contacted first: its internal address, and its address for operators.
 struct SeedMember {
   NodeName node;
   std::string http;
 };
 
-/// Reads the identity from the folder, or draws one and syncs it there. Founders' identities follow from
-/// their addresses, so that all of them know the others'; only a process with an empty disk at the first
-/// start of the whole system that is itself a seed is one. Throws Error for a disk that fails.
+/// Reads the identity from the folder, or generates one and syncs it to disk. A founder is a seed that starts
+/// with an empty disk at the first start of the whole system (`bootstrap`). Founders' identities are derived
+/// from their addresses, so that each founder knows the identities of the others. Throws Error if the disk
+/// fails.
 MemberIdentity loadIdentity(storage::FileSystem& files, const NodeName& self,
                             const std::vector<SeedMember>& seeds, bool bootstrap,
                             std::uint64_t random_number);
--- a/src/service_process/order_client.h
+++ b/src/service_process/order_client.h
@@ -12,14 +12,14 @@
 
 namespace ferryrock::service_process {
 
-/// How an HTTP interface writes orders to replicas. Translates only.
+/// Translates orders and inspections from and to the format of one HTTP interface. Stateless.
 class OrderDialect {
  public:
   virtual ~OrderDialect() = default;
   virtual http::ClientRequest order(const services::OrderReplicaEffect& order) const = 0;
   virtual services::OrderOutcome outcome(int status) const = 0;
   virtual http::ClientRequest inspection(const services::InspectReplicaEffect& inspection) const = 0;
-  /// nullopt: the body can't be read.
+  /// Returns nullopt if the body is malformed.
   virtual std::optional<services::ReplicaState> state(int status, const std::string& body) const = 0;
 };
 
@@ -28,8 +28,8 @@
   std::function<void(services::OrderNumber, const std::optional<services::ReplicaState>&)> on_inspected;
 };
 
-/// Carries orders and inspections to replicas; each ends in exactly one callback, never from within send().
-/// Used by one thread.
+/// Sends orders and inspections to replicas over HTTP. Each one results in exactly one callback, which is
+/// never called from within send(). Used by one thread.
 class OrderClient {
  public:
   OrderClient(event::Dispatcher& dispatcher, http::Client& client, const OrderDialect& dialect,
--- a/src/service_process/quarantine_api.h
+++ b/src/service_process/quarantine_api.h
@@ -5,14 +5,16 @@
 
 namespace ferryrock::service_process {
 
-/// Operators' interface to the calls that are kept away from replicas:
+/// HTTP interface for operators to calls that are suspected of crashing replicas or are quarantined:
 ///
-///   GET  /api/quarantine           {"calls": [{"fingerprint", "state", "ends": [{"replica", "refuted"}],
-///   "last_end_ms_ago"}]} POST /api/quarantine/release   {"fingerprint": "..."}: its ends count no more;
-///   answered with the same list
+///   GET  /api/quarantine           lists the calls:
+///                                  {"calls": [{"fingerprint", "state", "ends": [{"replica", "refuted"}],
+///                                  "last_end_ms_ago"}]}
+///   POST /api/quarantine/release   {"fingerprint": "..."}: recorded crashes no longer count;
+///                                  answered with the same list
 ///
-/// Any member answers from what it holds; a release reaches the others within a second.
-/// False if the request is for something else. Throws Error for a body that can't be read.
+/// Any member answers from its own state; a release reaches the other members within one second. Returns
+/// false if the request is for another path or method. Throws Error if the body is malformed.
 bool answerQuarantine(ServiceControlShell& shell, const http::Request& request,
                       const http::ResponseWriterPtr& response);
 
--- a/src/service_process/replica_client.cc
+++ b/src/service_process/replica_client.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kConnectTimeLimit = std::chrono::milliseconds(700);
 constexpr int kStatusOk = 200;
-/// An idle connection is given up this much before its replica would close it.
+/// An idle connection is closed this long before the replica's keep-alive timeout expires.
 constexpr Duration kKeepAliveMargin = std::chrono::seconds(1);
 constexpr Duration kLongestIdle = std::chrono::seconds(30);
 constexpr std::size_t kRememberedAddresses = 10'000;
@@ -92,7 +92,7 @@
     if (!notice.empty()) {
       callbacks_.on_notice(attempt.replica, notice);
     }
-    fail(number, AttemptFailure::Foreign, "the answer isn't this call's");
+    fail(number, AttemptFailure::Foreign, "response does not carry the id of this call");
     return;
   }
   callbacks_.on_head(number, notice);
@@ -147,7 +147,7 @@
   }
   const Attempt& attempt = *found->second;
   if (attempt.streaming && attempt.events.unfinishedBytes() > 0) {
-    fail(number, AttemptFailure::Unproved, "the stream ended within an event");
+    fail(number, AttemptFailure::Unproved, "event stream ended in the middle of an event");
   } else if (attempt.streaming) {
     callbacks_.on_stream_end(number);
     take(number);
--- a/src/service_process/replica_client.h
+++ b/src/service_process/replica_client.h
@@ -12,12 +12,13 @@
 
 namespace ferryrock::service_process {
 
-/// What happened to attempts. An attempt ends by on_answer, on_stream_end, on_failure or cancel().
+/// Events of attempts. An attempt ends with on_answer, on_stream_end, on_failure or cancel().
 struct ReplicaCallbacks {
-  /// What the head of an answer says of the replica, before the attempt's other events.
+  /// The notice in the head of the attempt's response, possibly empty. Called before the attempt's other
+  /// events.
   std::function<void(calls::AttemptNumber, const calls::ReplicaNotice&)> on_head;
-  /// What the head of an answer to another call on its connection says of the replica. Not called for heads
-  /// that say nothing.
+  /// The notice in a response head that doesn't belong to the attempt of its connection. Not called for an
+  /// empty notice.
   std::function<void(const ReplicaId&, const calls::ReplicaNotice&)> on_notice;
   std::function<void(calls::AttemptNumber, const calls::AnswerSummary&)> on_answer;
   std::function<void(calls::AttemptNumber, StreamEvent)> on_stream_event;
@@ -25,8 +26,9 @@
   std::function<void(calls::AttemptNumber, calls::AttemptFailure, const std::string& reason)> on_failure;
 };
 
-/// Sends calls to replicas over HTTP. Whole answers are kept until they have ended, streams are cut into
-/// events. An answer that ends early, has another call's id or isn't HTTP is a failure. Used by one thread.
+/// Sends calls to replicas over HTTP. Responses are buffered until they are complete; streams are split into
+/// events. A response that is truncated, carries another call's id or isn't valid HTTP is a failure. Used by
+/// one thread.
 class ReplicaClient {
  public:
   ReplicaClient(event::Dispatcher& dispatcher, http::Client& client, const CallDialect& dialect,
@@ -34,9 +36,10 @@
   ~ReplicaClient();
 
   void send(const calls::SendAttemptEffect& effect, const CallContent& content);
-  /// Closes the attempt's connection.
+  /// Ends the attempt without a callback and closes its connection.
   void cancel(calls::AttemptNumber attempt);
-  /// The answer of an attempt, within its on_answer callback; the head of a stream within its events.
+  /// The response of an attempt: valid within its on_answer callback, or as the head alone within the
+  /// callbacks for the events of a stream. nullptr if the attempt has ended.
   const HttpAnswer* answerOf(calls::AttemptNumber attempt) const;
   std::size_t running() const { return attempts_.size(); }
 
@@ -57,7 +60,7 @@
   void onComplete(calls::AttemptNumber number);
   void fail(calls::AttemptNumber number, calls::AttemptFailure failure, const std::string& reason);
   void noteKeepAlive(const std::string& address, const http::Headers& headers);
-  /// Ends the attempt; its connection's object is destroyed after the callback that is running.
+  /// Removes the attempt. Its client call is destroyed after the running callback returns.
   AttemptPtr take(calls::AttemptNumber number);
 
   event::Dispatcher& dispatcher_;
@@ -65,7 +68,7 @@
   const CallDialect& dialect_;
   ReplicaCallbacks callbacks_;
   std::map<calls::AttemptNumber, AttemptPtr> attempts_;
-  std::map<std::string, Duration> keep_alive_;  ///< by address, as the replica last told it
+  std::map<std::string, Duration> keep_alive_;  ///< idle limit by address, from the last Keep-Alive header
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/service_process/replica_prober.cc
+++ b/src/service_process/replica_prober.cc
@@ -7,8 +7,9 @@
 
 using calls::ProbeOutcome;
 
-/// A call may wait for the outcome. A process that has ended refuses within a round trip, 3 to 8 ms between
-/// the users' zones; whoever is silent for longer is taken for cut off or slow.
+/// Short, because a call may wait for the outcome. The host of a terminated process refuses the connection
+/// within one round trip, 3 to 8 ms between zones; a replica that doesn't answer in time is considered
+/// unreachable or slow.
 constexpr Duration kTimeLimit = std::chrono::milliseconds(250);
 
 }  // namespace
--- a/src/service_process/replica_prober.h
+++ b/src/service_process/replica_prober.h
@@ -9,17 +9,19 @@
 
 namespace ferryrock::service_process {
 
-/// Finds out whether a replica that broke a call off has ended: over a new connection, since the open ones
-/// tell nothing of the process behind them. Each probe gets exactly one outcome. Used by one thread.
+/// Probes whether a replica that broke a call off has terminated. Each probe uses a new connection, since the
+/// state of an open connection doesn't show whether the process still runs. Each probe has exactly one
+/// outcome. Used by one thread.
 class ReplicaProber {
  public:
   using Callback = std::function<void(const ReplicaId&, calls::ProbeOutcome)>;
   using NoticeCallback = std::function<void(const ReplicaId&, const calls::ReplicaNotice&)>;
-  /// on_notice: what an answer's head says of the replica, before its outcome.
+  /// on_notice receives a non-empty notice from the head of a probe's response, before the outcome is
+  /// reported.
   ReplicaProber(event::Dispatcher& dispatcher, http::Client& client, const CallDialect& dialect,
                 Callback on_probed, NoticeCallback on_notice);
 
-  /// One at a time for a replica; a further one while one is under way does nothing.
+  /// Sends a probe unless one is in flight to the same replica.
   void send(const calls::ProbeReplicaEffect& effect);
 
  private:
--- a/src/service_process/service_control_shell.cc
+++ b/src/service_process/service_control_shell.cc
@@ -15,22 +15,24 @@
 
 using namespace std::chrono_literals;
 
-/// Messages queued for one peer; what is lost beyond is sent anew.
+/// Send queue limit per peer, in messages. Messages dropped beyond the limit are sent again.
 constexpr std::size_t kQueuedMessages = 64;
-/// Messages of one peer that wait here: 300 routers at 16 of 8 KiB are 39 MB of a process's 256 MB.
+/// Receive queue limit per peer, in messages: 16 messages of 8 KiB from each of 300 routers take 39 MB of the
+/// process's 256 MB.
 constexpr std::size_t kUnreceivedMessages = 16;
 constexpr Duration kStopCheck = 50ms;
 constexpr Duration kStopLimit = 3s;
-/// Between two accounts of memory and traffic in the log.
+/// Interval between log lines on memory and traffic.
 constexpr Duration kLoadInterval = 5s;
-/// Between two looks at which members there are; messages come by the thousand a second.
+/// Minimum interval between checks for changed peers, as thousands of messages arrive per second.
 constexpr Duration kPeersInterval = 20ms;
-/// Between two looks at how many replicas and routers are known: each counts the routers.
+/// Minimum interval between counts of the known replicas and routers, as each count iterates over the
+/// routers.
 constexpr Duration kFleetInterval = 500ms;
-/// Catalogs are large and few: the log is replaced by a snapshot early.
+/// Low, because entries with catalogs are large and rare: the log is replaced by a snapshot early.
 constexpr std::size_t kSnapshotAfterEntries = 300;
 constexpr std::size_t kRetainedEntries = 50;
-/// Between two tries to write to a disk that is full or faulty.
+/// Interval between attempts to write to a disk that is full or faulty.
 constexpr Duration kStorageRetry = 250ms;
 constexpr std::uint64_t kSegmentBytes = std::uint64_t{4} << 20;
 
@@ -184,7 +186,7 @@
 }
 
 void ServiceControlShell::noteUnreadable(const std::string& path, const Error& fault) {
-  // Of another writer's path, enough to find it by.
+  // The path is chosen by the client and truncated; this length is enough to identify the request.
   constexpr std::size_t kShown = 120;
   log_.write(LogLevel::Warning, "question.unreadable",
              {{"path", std::string_view(path).substr(0, kShown)},
@@ -288,7 +290,7 @@
   followed_peers_ = std::move(nodes);
 }
 
-/// One line for each change of what the process believes.
+/// Logs one line for each change of the member's view: leader, voters, catalog, evacuated zones.
 void ServiceControlShell::noteBeliefs() {
   const services::ServiceControlView view = control_->view(now());
   if (view.leader != noted_.leader || view.term != noted_.term || view.leads != noted_.leads) {
@@ -315,7 +317,8 @@
   noteFleet();
 }
 
-/// How many replicas and routers are known, where that has changed; they change often and one by one.
+/// Logs the number of known replicas and routers if it has changed. Limited in rate, as the numbers change
+/// often and in steps of one.
 void ServiceControlShell::noteFleet() {
   const TimePoint time = now();
   if (time < next_fleet_note_) {
@@ -331,7 +334,7 @@
   noted_fleet_ = fleet;
 }
 
-/// What the process holds and what it exchanged since the last account, by kind of message.
+/// Logs the memory in use, and the traffic by kind of message since the previous call.
 void ServiceControlShell::noteLoad() {
   load_timer_->enable(kLoadInterval);
   const transport::TransportCounts counts = transport_->counts();
--- a/src/service_process/service_control_shell.h
+++ b/src/service_process/service_control_shell.h
@@ -20,25 +20,25 @@
 
 namespace ferryrock::service_process {
 
-/// One running control member of hosted services. Operators, replicas and callers reach it through an
-/// interface that translates to its members below. Everything but the storage writer lives on the
+/// A running control member of hosted services. An HTTP interface translates the requests of operators,
+/// replicas and callers to the member functions below. Everything except the storage writer runs on the
 /// dispatcher's thread.
 class ServiceControlShell {
  public:
   using AnswerCallback = std::function<void(const services::AnswerEffect&)>;
 
-  /// Recovers the data folder and opens the internal socket. Throws Error for what it can't start with.
+  /// Recovers the state in the data folder and opens the internal socket. Throws Error if either fails.
   ServiceControlShell(event::Dispatcher& dispatcher, ServiceControlProcessSettings settings,
                       const OrderDialect& dialect, EventLog& log);
   ~ServiceControlShell();
 
-  /// Each is answered once; see services::ServiceControl.
+  /// Each callback is called once with the result; see services::ServiceControl.
   void replaceCatalog(wire::ServiceCatalog catalog, std::string source, AnswerCallback callback);
   void readCatalog(AnswerCallback callback);
   void report(const wire::ReplicaReport& report, AnswerCallback callback);
   void evacuateZone(const ZoneName& zone, bool evacuated, AnswerCallback callback);
   std::vector<ZoneName> evacuatedZones() const { return control_->evacuatedZones(); }
-  /// A question or a report that can't be read; nothing of it was taken.
+  /// Logs a request or report that is malformed and was rejected as a whole.
   void noteUnreadable(const std::string& path, const Error& fault);
   std::vector<std::string> routerAddresses(const ZoneName& zone, std::size_t limit);
   std::vector<services::SuspectedCall> suspectedCalls() { return control_->suspectedCalls(now()); }
@@ -47,7 +47,8 @@
   const ServiceControlProcessSettings& settings() const { return settings_; }
   std::string metricsText();
   void replaceSeeds(const ServiceControlProcessSettings& fresh);
-  /// Hands leadership over and answers what is open, then calls back once.
+  /// Hands leadership over and answers pending requests, then calls on_stopped once; after a time limit in
+  /// any case.
   void beginStop(event::Callback on_stopped);
 
  private:
--- a/src/service_process/service_settings.h
+++ b/src/service_process/service_settings.h
@@ -15,20 +15,21 @@
 /// Settings files of the processes that serve hosted services.
 namespace ferryrock::service_process {
 
-/// What both kinds of process have in common.
+/// Settings that routers and control members share.
 struct ServiceProcessSettings {
   NodeName node;
   ZoneName zone;
-  std::string host;                 ///< the machine's address
-  std::uint16_t internal_port = 0;  ///< of control members; the same on all machines
-  std::vector<std::string> seeds;   ///< control members' addresses for operators, "host:port"
-  std::string listen_directory;     ///< "host:port", callers who ask where to go; empty at a router: none
-  Duration directory_lifetime = std::chrono::seconds(1);  ///< of an answer to them
+  std::string host;                 ///< address of the machine
+  std::uint16_t internal_port = 0;  ///< port of the control members, the same on all machines
+  std::vector<std::string> seeds;   ///< operator addresses of control members, "host:port"
+  /// "host:port" on which callers look up router addresses; empty at a router: it serves no directory.
+  std::string listen_directory;
+  Duration directory_lifetime = std::chrono::seconds(1);  ///< time to live of a directory response
   LogSettings log;
   EventLogLimits log_limits;
   tenancy::QuotaTolerance quota_tolerance;
 
-  /// The seeds as internal addresses.
+  /// The internal addresses of the seeds.
   std::vector<NodeName> seedNodes() const;
 };
 
@@ -36,32 +37,33 @@
   std::string listen_calls;   ///< "host:port"
   std::string listen_status;  ///< "host:port"
   calls::RetryBudgetSettings retries;
-  /// A key that was taken away isn't obeyed by any router later than this; nullopt: routers that are cut off
-  /// go on obeying what they know.
+  /// Time within which all routers reject a revoked key. nullopt: a router without contact to the control
+  /// members accepts the keys of its last known catalog without limit.
   std::optional<Duration> key_revocation_limit;
-  /// A planned stop takes this long at most.
+  /// Maximum duration of a planned stop.
   Duration stop_limit = std::chrono::seconds(8);
-  /// New calls are taken in for this long, from callers that haven't heard yet.
+  /// Time after the start of a planned stop during which new calls are accepted, from callers that haven't
+  /// learned of the stop yet.
   Duration stop_accepts = std::chrono::milliseconds(2300);
-  /// Connections are closed before the process ends: it stays for this long at least.
+  /// Minimum duration of a planned stop, so that connections are closed before the process exits.
   Duration stop_linger = std::chrono::milliseconds(3500);
 };
 
 struct ServiceControlProcessSettings : ServiceProcessSettings {
-  std::string listen_control;  ///< "host:port", operators and replicas
+  std::string listen_control;  ///< "host:port", for operators and replicas
   std::string data_folder;
-  bool bootstrap = false;  ///< the whole system starts for the first time
+  bool bootstrap = false;  ///< true at the first start of the whole system
   std::uint32_t losses_borne = 1;
-  std::vector<std::string> zones;  ///< that operators may evacuate; empty: those of known replicas
+  std::vector<std::string> zones;  ///< zones that operators may evacuate; empty: the zones of known replicas
   Duration router_out_of_touch = std::chrono::seconds(3);
   Duration order_lease = std::chrono::seconds(3);
   Duration replica_heartbeat = std::chrono::seconds(1);
   services::PlacementSwitches placement;
-  bool tells_loads = false;  ///< routers choose replicas by the load over all routers
+  bool tells_loads = false;  ///< loads are published, so that routers balance by the load over all routers
   std::size_t max_body_bytes = 64 << 20;
 };
 
-/// Throw Error with the file, line and key of the first fault.
+/// Both throw Error with the file, line and key of the first invalid setting.
 CallRouterProcessSettings readCallRouterSettings(SettingsReader& reader);
 ServiceControlProcessSettings readServiceControlSettings(SettingsReader& reader);
 
--- a/src/service_process/step_watch.cc
+++ b/src/service_process/step_watch.cc
@@ -5,7 +5,7 @@
 namespace ferryrock::service_process {
 namespace {
 
-/// A heartbeat's interval.
+/// Equal to the heartbeat interval.
 constexpr Duration kSlow = std::chrono::milliseconds(100);
 constexpr Duration kLineInterval = std::chrono::seconds(1);
 
--- a/src/service_process/step_watch.h
+++ b/src/service_process/step_watch.h
@@ -9,15 +9,15 @@
 
 namespace ferryrock::service_process {
 
-/// Logs steps of a process's loop that took long, as "process.slow_step": while one runs, no message is read
-/// and no heartbeat leaves, so that a member whose steps take longer than an election loses its leadership
-/// without a word elsewhere in its log. One line a second at most; the next one tells how many were left out.
-/// Used by one thread.
+/// Logs slow steps of a process's event loop as "process.slow_step". While a step runs, no message is read
+/// and no heartbeat is sent, so that a member whose steps take longer than the election timeout loses
+/// leadership with no other trace of the cause in its log. Logs at most one line per second, with the number
+/// of lines suppressed before it. Used by one thread.
 class StepWatch {
  public:
   StepWatch(TimeSource& time_source, EventLog& log) : time_source_(time_source), log_(log) {}
 
-  /// One step, from its making to its end.
+  /// Times one step, from construction to destruction.
   class Step {
    public:
     Step(StepWatch& watch, std::string_view cause);
--- a/tests/service_process/replica_client_test.cc
+++ b/tests/service_process/replica_client_test.cc
@@ -8,14 +8,15 @@
 #include "http/fixture.h"
 #include "http/raw_peer.h"
 
-/// Calls against scripted replicas on loopback: what is passed on, and what never looks complete.
+/// Tests ReplicaClient against scripted replicas on loopback: requests and responses are passed on unchanged,
+/// and a truncated or foreign response is never reported as complete.
 namespace ferryrock::service_process {
 namespace {
 
 using http::RawConnection;
 using http::ScriptedServer;
 
-/// A dialect of the test's own: the call's id travels as "Call-Id", a refusal is marked "Not-Run".
+/// Minimal dialect: the call id is in the header "Call-Id", and "Not-Run" marks a refusal.
 class TestDialect : public CallDialect {
  public:
   ParsedCall parse(http::Request) const override { throw Error(ResultCode::Internal, "not used"); }
@@ -54,7 +55,7 @@
   }
 };
 
-/// What became of one attempt.
+/// The callbacks received for one attempt.
 struct Record {
   std::optional<calls::AnswerSummary> answer;
   std::string body;
@@ -105,7 +106,7 @@
   std::unique_ptr<ReplicaClient> replicas;
   std::map<calls::AttemptNumber, Record> records;
   std::uint64_t next = 0;
-  std::string leaving;  ///< replicas that said so
+  std::string leaving;  ///< ids of replicas that announced that they leave, each followed by a space
   bool ended_before_notice = false;
 };
 
@@ -113,8 +114,7 @@
   return "HTTP/1.1 200 OK\r\nCall-Id: c1\r\n" + headers + "\r\n" + body;
 }
 
-TEST_CASE(
-    "What a head says of its replica is told before the answer, of streams and of foreign answers too") {
+TEST_CASE("A replica's notice is reported before the response ends, also for streams and foreign responses") {
   const std::vector<std::string> answers = {
       answerText("Leaving: 1\r\nContent-Length: 2\r\n", "ok"),
       "HTTP/1.1 503 Full\r\nCall-Id: c1\r\nLeaving: 1\r\nContent-Length: 0\r\n\r\n",
@@ -137,7 +137,7 @@
   CHECK_FALSE(fixture.ended_before_notice);
 }
 
-TEST_CASE("A call goes out byte for byte") {
+TEST_CASE("A call is sent to the replica byte for byte, without added headers") {
   std::string seen;
   ScriptedServer server([&seen](RawConnection& connection, int) {
     seen = connection.readRequest();
@@ -156,13 +156,13 @@
 
 struct AnswerCase {
   const char* name;
-  std::string text;  ///< after which the replica closes, or resets
+  std::string text;  ///< sent by the replica before it closes or resets the connection
   bool reset;
   std::optional<calls::AttemptFailure> failure;
   std::string body;
 };
 
-TEST_CASE("Only a whole answer to this very call counts") {
+TEST_CASE("Truncated, foreign and malformed responses are reported as failures") {
   using calls::AttemptFailure;
   const std::vector<AnswerCase> cases = {
       {"with length", answerText("Content-Length: 2\r\n", "ok"), false, std::nullopt, "ok"},
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("A replica that nobody listens for wasn't sent to") {
+TEST_CASE("A refused connection is reported as not sent") {
   std::uint16_t port = 0;
   {
     ScriptedServer server([](RawConnection&, int) {});
@@ -201,7 +201,7 @@
   CHECK(fixture.run(port).failure == calls::AttemptFailure::NotSent);
 }
 
-TEST_CASE("A request on a kept connection that dies isn't sent a second time") {
+TEST_CASE("A request on a keep-alive connection that is reset isn't sent a second time") {
   std::atomic<int> requests = 0;
   ScriptedServer server([&requests](RawConnection& connection, int) {
     requests += connection.readRequest().empty() ? 0 : 1;
@@ -215,7 +215,7 @@
   CHECK(requests == 2);
 }
 
-TEST_CASE("A surplus answer on a kept connection is nobody's") {
+TEST_CASE("A surplus response on a keep-alive connection isn't assigned to the next call") {
   ScriptedServer server([](RawConnection& connection, int) {
     connection.readRequest();
     connection.write(answerText("Content-Length: 2\r\n", "ok") +
@@ -230,7 +230,7 @@
   CHECK((second.failure.has_value() || second.body == "ok"));
 }
 
-TEST_CASE("A stream is passed in whole events; a cut one, or one that ends within an event, has no end") {
+TEST_CASE("A stream is passed on in complete events; a truncated stream is reported as a failure") {
   const std::string head =
       answerText("Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n", "");
   const std::string two = "11\r\nid: 1\ndata: a\n\nid\r\nf\r\n: 2\ndata: bcd\n\n\r\n";
@@ -257,7 +257,7 @@
   }
 }
 
-TEST_CASE("Events are cut at empty lines, whatever the line ends, over any pieces") {
+TEST_CASE("Events are split at empty lines for both line endings and any size of input pieces") {
   const std::string text = "x-version: 3\nid: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\ndata: no id\n\n";
   for (std::size_t piece = 1; piece < text.size(); ++piece) {
     EventSplitter splitter;
@@ -277,7 +277,7 @@
   }
 }
 
-TEST_CASE("Headers of one connection and those that it lists don't go further") {
+TEST_CASE("Hop-by-hop headers and headers listed in Connection aren't forwarded") {
   const http::Headers headers = {{"Connection", "close, X-Hop"},  {"x-hop", "1"}, {"Keep-Alive", "timeout=3"},
                                  {"Content-Length", "4"},         {"X-End", "2"}, {"Host", "h"},
                                  {"transfer-encoding", "chunked"}};
--- a/tests/service_process/settings_test.cc
+++ b/tests/service_process/settings_test.cc
@@ -12,14 +12,14 @@
     "node: edge-1\nhost: 10.0.0.9\ninternal_port: 7000\nseeds: [\"10.0.0.1:80\", \"10.0.0.2:80\"]\n"
     "listen_calls: 10.0.0.9:8000\nlisten_status: 10.0.0.9:8001\nretry_slack: 52\nretry_window: 10s\n";
 
-TEST_CASE("A router's settings are read, and seeds become internal addresses") {
+TEST_CASE("Router settings are read, and seeds are converted to internal addresses") {
   SettingsReader reader = SettingsReader::fromText(kRouter, "settings");
   const CallRouterProcessSettings settings = readCallRouterSettings(reader);
   CHECK(settings.retries.slack == 52);
   CHECK(settings.seedNodes() == std::vector<NodeName>{NodeName("10.0.0.1:7000"), NodeName("10.0.0.2:7000")});
 }
 
-TEST_CASE("Each mechanism of placement is on unless the settings switch it off") {
+TEST_CASE("Each placement mechanism is enabled unless the settings disable it") {
   const std::string control =
       "node: core-1\nhost: 10.0.0.1\ninternal_port: 7000\nseeds: [\"10.0.0.1:80\"]\n"
       "listen_control: 10.0.0.1:80\nlisten_directory: 10.0.0.1:81\ndata_folder: data\n";
@@ -34,7 +34,7 @@
 }
 
 TEST_CASE(
-    "Loads are told to routers only where the settings say so, and a value that is no switch is refused") {
+    "Loads are published to routers only if the settings enable it, and a non-boolean value is refused") {
   const std::string control =
       "node: core-1\nhost: 10.0.0.1\ninternal_port: 7000\nseeds: [\"10.0.0.1:80\"]\n"
       "listen_control: 10.0.0.1:80\nlisten_directory: 10.0.0.1:81\ndata_folder: data\n";
@@ -46,7 +46,7 @@
   CHECK_THROWS_AS(readServiceControlSettings(broken), Error);
 }
 
-TEST_CASE("An unknown, missing or broken field is refused with its place and remedy") {
+TEST_CASE("An unknown, missing or invalid setting is refused with an error that names the settings source") {
   for (const std::string& text :
        {kRouter + "unknown: 1\n", std::string("node: edge-1\n"), kRouter + "stop_limit: 8\n",
         kRouter + "retry_share: -1\n", std::string("node: [\n")}) {
@@ -54,14 +54,14 @@
     try {
       SettingsReader reader = SettingsReader::fromText(text, "settings");
       readCallRouterSettings(reader);
-      FAIL("it was accepted");
+      FAIL("invalid settings were accepted");
     } catch (const Error& fault) {
       CHECK(std::string(fault.what()).find("settings") != std::string::npos);
     }
   }
 }
 
-TEST_CASE("An identity is drawn once for a disk; founders know each other's") {
+TEST_CASE("An identity is generated once per disk, and founders know each other's identities") {
   const std::vector<SeedMember> seeds = {{NodeName("a:1"), "a:80"}, {NodeName("b:1"), "b:80"}};
   storage::MemoryDisk first(1);
   storage::MemoryDisk second(2);
--- a/tests/service_process/step_watch_test.cc
+++ b/tests/service_process/step_watch_test.cc
@@ -24,7 +24,7 @@
   std::vector<std::string> lines;
 };
 
-TEST_CASE("A step that takes as long as a heartbeat's interval is logged, a shorter one isn't") {
+TEST_CASE("A step is logged only if it takes at least one heartbeat interval") {
   ScriptedClock clock;
   LineCount log;
   StepWatch watch(clock, log);
@@ -40,7 +40,7 @@
   CHECK(log.lines == std::vector<std::string>{"process.slow_step"});
 }
 
-TEST_CASE("Of many slow steps one a second is logged") {
+TEST_CASE("Slow steps are logged at most once per second") {
   ScriptedClock clock;
   LineCount log;
   StepWatch watch(clock, log);
