--- a/src/service_process/call_router_shell.cc
+++ b/src/service_process/call_router_shell.cc
@@ -12,15 +12,15 @@
 constexpr Duration kStopMargin = std::chrono::milliseconds(600);
 /// Send queue limit per control member, in messages. The queue is short because each status report supersedes
 /// the one before, so delayed reports are useless.
-constexpr std::size_t kQueuedMessages = 16;
-constexpr std::size_t kUnreceivedMessages = 64;
-constexpr Duration kStopCheck = std::chrono::milliseconds(100);
+constexpr std::size_t kSendQueueLimit = 16;
+constexpr std::size_t kReceiveQueueLimit = 64;
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(100);
 /// Longer than callers keep an idle connection in use, so that the server doesn't close one that a caller is
 /// about to reuse.
 constexpr Duration kIdleTimeout = std::chrono::seconds(60);
 /// Keys expire this long before the revocation limit, to allow for timer delay and clock drift.
 constexpr Duration kRevocationMargin = std::chrono::milliseconds(250);
-constexpr std::size_t kMaximumBodyBytes = std::size_t{8} << 20;
+constexpr std::size_t kMaxCallBodyBytes = std::size_t{8} << 20;
 
 calls::CallRouterSettings routerSettings(const CallRouterProcessSettings& settings) {
   calls::CallRouterSettings router;
@@ -39,7 +39,7 @@
 }
 
 http::ServerSettings serverSettings(const CallRouterProcessSettings& settings) {
-  http::ServerSettings server = process::listenSettings(settings.listen_calls, {}, kMaximumBodyBytes);
+  http::ServerSettings server = process::listenSettings(settings.listen_calls, {}, kMaxCallBodyBytes);
   server.idle_timeout = kIdleTimeout;
   return server;
 }
@@ -59,8 +59,8 @@
   stop_timer_ = dispatcher_.createTimer([this] { continueStop(); });
   transport::TransportSettings transport;
   transport.node = settings_.node;
-  transport.high_water_mark = kQueuedMessages;
-  transport.receive_high_water_mark = kUnreceivedMessages;
+  transport.high_water_mark = kSendQueueLimit;
+  transport.receive_high_water_mark = kReceiveQueueLimit;
   transport_ = transport::createZeroMqTransport(
       dispatcher_, transport,
       [this](const wire::Envelope& envelope) { carryOut(router_.receive(envelope, now())); });
@@ -186,14 +186,14 @@
 
 void CallRouterShell::continueStop() {
   const Duration passed = now() - *stop_began_;
-  if (passed >= settings_.stop_accepts && !std::exchange(closed_, true)) {
+  if (passed >= settings_.stop_accepts && !std::exchange(listener_closed_, true)) {
     server_->server().stopListening();
     server_->server().closeIdleConnections();
   }
   const bool out_of_time = passed >= settings_.stop_limit - kStopMargin / 2;
   if (out_of_time && !router_.drained()) {
     carryOut(router_.endDrain(now()));
-    stop_timer_->enable(kStopCheck);
+    stop_timer_->enable(kStopPollInterval);
     return;
   }
   const bool lingered = passed >= settings_.stop_linger;
@@ -204,7 +204,7 @@
     }
     return;
   }
-  stop_timer_->enable(kStopCheck);
+  stop_timer_->enable(kStopPollInterval);
 }
 
 std::string CallRouterShell::metricsText() {
--- a/src/service_process/evacuation_api.cc
+++ b/src/service_process/evacuation_api.cc
@@ -14,10 +14,10 @@
 constexpr const char* kStartPath = "/api/evacuations/start";
 constexpr const char* kStopPath = "/api/evacuations/stop";
 
-ZoneName zoneIn(const std::string& body) {
+ZoneName parseZone(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
-  const bool told = json.is_object() && json.contains("zone") && json["zone"].is_string();
-  if (!told) {
+  const bool valid = json.is_object() && json.contains("zone") && json["zone"].is_string();
+  if (!valid) {
     throw Error(ResultCode::MalformedBody, "'zone' must hold the name of a zone");
   }
   return ZoneName(json["zone"].get<std::string>());
@@ -64,9 +64,9 @@
   if (request.method != "POST" || (!starts && request.path != kStopPath)) {
     return false;
   }
-  shell.evacuateZone(zoneIn(request.body), starts, [&shell, response](const services::AnswerEffect& answer) {
-    respondChange(shell, answer, response);
-  });
+  shell.evacuateZone(
+      parseZone(request.body), starts,
+      [&shell, response](const services::AnswerEffect& answer) { respondChange(shell, answer, response); });
   return true;
 }
 
--- a/src/service_process/member_identity.cc
+++ b/src/service_process/member_identity.cc
@@ -8,7 +8,7 @@
 namespace ferryrock::service_process {
 namespace {
 
-constexpr const char* kFile = "identity";
+constexpr const char* kIdentityFile = "identity";
 constexpr const char* kTemporaryFile = "identity.new";
 /// Limits identities to 62 bits, so that they are positive as signed 64-bit numbers.
 constexpr std::uint64_t kIdentityMask = (std::uint64_t{1} << 62) - 1;
@@ -37,7 +37,7 @@
   }
   files.append(kTemporaryFile, wire::encode(identity));
   files.sync(kTemporaryFile);
-  files.rename(kTemporaryFile, kFile);
+  files.rename(kTemporaryFile, kIdentityFile);
   files.syncFolder();
 }
 
@@ -46,8 +46,8 @@
 MemberIdentity loadIdentity(storage::FileSystem& files, const NodeName& self,
                             const std::vector<SeedMember>& seeds, bool bootstrap,
                             std::uint64_t random_number) {
-  if (files.exists(kFile)) {
-    return wire::decode<MemberIdentity>(files.read(kFile));
+  if (files.exists(kIdentityFile)) {
+    return wire::decode<MemberIdentity>(files.read(kIdentityFile));
   }
   MemberIdentity identity;
   const bool is_seed =
--- a/src/service_process/order_client.cc
+++ b/src/service_process/order_client.cc
@@ -5,8 +5,8 @@
 namespace ferryrock::service_process {
 namespace {
 
-constexpr Duration kTimeLimit = std::chrono::milliseconds(800);
-constexpr Duration kConnectTimeLimit = std::chrono::milliseconds(400);
+constexpr Duration kTotalTimeout = std::chrono::milliseconds(800);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
 
@@ -25,8 +25,8 @@
 }
 
 void OrderClient::start(services::OrderNumber number, bool inspection, http::ClientRequest request) {
-  request.total_timeout = kTimeLimit;
-  request.connect_timeout = kConnectTimeLimit;
+  request.total_timeout = kTotalTimeout;
+  request.connect_timeout = kConnectTimeout;
   const auto call = std::make_shared<Call>();
   call->inspection = inspection;
   calls_[number] = call;
@@ -51,9 +51,10 @@
   if (call->inspection) {
     callbacks_.on_inspected(number, answered ? dialect_.state(call->status, call->body) : std::nullopt);
   } else if (answered) {
-    callbacks_.on_done(number, dialect_.outcome(call->status));
+    callbacks_.on_order_completed(number, dialect_.outcome(call->status));
   } else {
-    callbacks_.on_done(number, sent ? services::OrderOutcome::Unanswered : services::OrderOutcome::Refused);
+    callbacks_.on_order_completed(
+        number, sent ? services::OrderOutcome::Unanswered : services::OrderOutcome::Refused);
   }
 }
 
--- a/src/service_process/order_client.h
+++ b/src/service_process/order_client.h
@@ -24,7 +24,7 @@
 };
 
 struct OrderCallbacks {
-  std::function<void(services::OrderNumber, services::OrderOutcome)> on_done;
+  std::function<void(services::OrderNumber, services::OrderOutcome)> on_order_completed;
   std::function<void(services::OrderNumber, const std::optional<services::ReplicaState>&)> on_inspected;
 };
 
--- a/src/service_process/quarantine_api.cc
+++ b/src/service_process/quarantine_api.cc
@@ -27,11 +27,11 @@
           {"last_end_ms_ago", call.record.age_ms}};
 }
 
-wire::CallFingerprint fingerprintIn(const std::string& body) {
+wire::CallFingerprint parseFingerprint(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
-  const bool told = json.is_object() && json.contains("fingerprint") && json["fingerprint"].is_string();
+  const bool valid = json.is_object() && json.contains("fingerprint") && json["fingerprint"].is_string();
   const auto fingerprint =
-      told ? quarantine::fingerprintFrom(json["fingerprint"].get<std::string>()) : std::nullopt;
+      valid ? quarantine::fingerprintFrom(json["fingerprint"].get<std::string>()) : std::nullopt;
   if (!fingerprint) {
     throw Error(ResultCode::MalformedBody, "'fingerprint' must hold 32 hexadecimal digits");
   }
@@ -47,7 +47,7 @@
     return false;
   }
   if (releases) {
-    shell.releaseCall(fingerprintIn(request.body));
+    shell.releaseCall(parseFingerprint(request.body));
   }
   ordered_json calls = ordered_json::array();
   for (const services::SuspectedCall& call : shell.suspectedCalls()) {
--- a/src/service_process/replica_client.cc
+++ b/src/service_process/replica_client.cc
@@ -10,12 +10,12 @@
 using calls::AttemptFailure;
 using calls::AttemptNumber;
 
-constexpr Duration kConnectTimeLimit = std::chrono::milliseconds(700);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
 constexpr int kStatusOk = 200;
 /// An idle connection is closed this long before the replica's keep-alive timeout expires.
 constexpr Duration kKeepAliveMargin = std::chrono::seconds(1);
-constexpr Duration kLongestIdle = std::chrono::seconds(30);
-constexpr std::size_t kRememberedAddresses = 10'000;
+constexpr Duration kMaxIdleTime = std::chrono::seconds(30);
+constexpr std::size_t kMaxKeepAliveEntries = 10'000;
 
 bool isEventStream(int status, const http::Headers& headers) {
   const auto type = http::findHeader(headers, "Content-Type");
@@ -40,7 +40,7 @@
   attempt->address = effect.address;
   attempts_[number] = attempt;
   http::ClientRequest request = dialect_.attempt(effect, content);
-  request.connect_timeout = kConnectTimeLimit;
+  request.connect_timeout = kConnectTimeout;
   request.exact_headers = true;
   const auto keep_alive = keep_alive_.find(effect.address);
   if (keep_alive != keep_alive_.end()) {
@@ -96,13 +96,13 @@
     return;
   }
   callbacks_.on_head(number, notice);
-  noteKeepAlive(attempt.address, headers);
+  recordKeepAlive(attempt.address, headers);
   attempt.answer.status = status;
   attempt.answer.headers = headers;
   attempt.streaming = isEventStream(status, headers);
 }
 
-void ReplicaClient::noteKeepAlive(const std::string& address, const http::Headers& headers) {
+void ReplicaClient::recordKeepAlive(const std::string& address, const http::Headers& headers) {
   constexpr std::string_view kTimeout = "timeout=";
   const auto header = http::findHeader(headers, "Keep-Alive");
   const std::size_t place = header ? header->find(kTimeout) : std::string::npos;
@@ -112,12 +112,12 @@
   int seconds = 0;
   const char* begin = header->data() + place + kTimeout.size();
   std::from_chars(begin, header->data() + header->size(), seconds);
-  const Duration told = std::chrono::seconds(seconds);
-  if (keep_alive_.size() > kRememberedAddresses) {
+  const Duration announced = std::chrono::seconds(seconds);
+  if (keep_alive_.size() > kMaxKeepAliveEntries) {
     keep_alive_.clear();
   }
   keep_alive_[address] =
-      std::min(kLongestIdle, told > kKeepAliveMargin ? told - kKeepAliveMargin : Duration{});
+      std::min(kMaxIdleTime, announced > kKeepAliveMargin ? announced - kKeepAliveMargin : Duration{});
 }
 
 void ReplicaClient::onData(AttemptNumber number, std::string_view bytes) {
--- a/src/service_process/replica_client.h
+++ b/src/service_process/replica_client.h
@@ -59,7 +59,7 @@
   void onData(calls::AttemptNumber number, std::string_view bytes);
   void onComplete(calls::AttemptNumber number);
   void fail(calls::AttemptNumber number, calls::AttemptFailure failure, const std::string& reason);
-  void noteKeepAlive(const std::string& address, const http::Headers& headers);
+  void recordKeepAlive(const std::string& address, const http::Headers& headers);
   /// Removes the attempt. Its client call is destroyed after the running callback returns.
   AttemptPtr take(calls::AttemptNumber number);
 
--- a/src/service_process/replica_prober.cc
+++ b/src/service_process/replica_prober.cc
@@ -10,7 +10,7 @@
 /// Short, because a call may wait for the outcome. The host of a terminated process refuses the connection
 /// within one round trip, 3 to 8 ms between zones; a replica that doesn't answer in time is considered
 /// unreachable or slow.
-constexpr Duration kTimeLimit = std::chrono::milliseconds(250);
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -29,8 +29,8 @@
   }
   const std::shared_ptr<Probe> probe = place->second;
   http::ClientRequest request = dialect_.probe(effect);
-  request.connect_timeout = kTimeLimit;
-  request.total_timeout = kTimeLimit;
+  request.connect_timeout = kProbeTimeout;
+  request.total_timeout = kProbeTimeout;
   request.fresh_connection = true;
   http::ClientCallbacks callbacks;
   callbacks.on_headers = [this, replica = effect.replica, probe](int status, const http::Headers& headers) {
--- a/src/service_process/service_control_shell.cc
+++ b/src/service_process/service_control_shell.cc
@@ -16,19 +16,19 @@
 using namespace std::chrono_literals;
 
 /// Send queue limit per peer, in messages. Messages dropped beyond the limit are sent again.
-constexpr std::size_t kQueuedMessages = 64;
+constexpr std::size_t kSendQueueLimit = 64;
 /// Receive queue limit per peer, in messages: 16 messages of 8 KiB from each of 300 routers take 39 MB of the
 /// process's 256 MB.
-constexpr std::size_t kUnreceivedMessages = 16;
-constexpr Duration kStopCheck = 50ms;
+constexpr std::size_t kReceiveQueueLimit = 16;
+constexpr Duration kStopPollInterval = 50ms;
 constexpr Duration kStopLimit = 3s;
 /// Interval between log lines on memory and traffic.
-constexpr Duration kLoadInterval = 5s;
+constexpr Duration kUsageLogInterval = 5s;
 /// Minimum interval between checks for changed peers, as thousands of messages arrive per second.
-constexpr Duration kPeersInterval = 20ms;
+constexpr Duration kPeerCheckInterval = 20ms;
 /// Minimum interval between counts of the known replicas and routers, as each count iterates over the
 /// routers.
-constexpr Duration kFleetInterval = 500ms;
+constexpr Duration kFleetLogInterval = 500ms;
 /// Low, because entries with catalogs are large and rare: the log is replaced by a snapshot early.
 constexpr std::size_t kSnapshotAfterEntries = 300;
 constexpr std::size_t kRetainedEntries = 50;
@@ -76,11 +76,11 @@
     carryOut(control_->tick(now()));
   });
   stop_timer_ = dispatcher_.createTimer([this] { continueStop(); });
-  load_timer_ = dispatcher_.createTimer([this] { noteLoad(); });
-  load_timer_->enable(kLoadInterval);
+  usage_timer_ = dispatcher_.createTimer([this] { logResourceUsage(); });
+  usage_timer_->enable(kUsageLogInterval);
   http_client_ = http::createClient(dispatcher_);
   OrderCallbacks callbacks;
-  callbacks.on_done = [this](services::OrderNumber number, services::OrderOutcome outcome) {
+  callbacks.on_order_completed = [this](services::OrderNumber number, services::OrderOutcome outcome) {
     log_.write(LogLevel::Info, "order.done",
                {{"order", static_cast<std::int64_t>(number.value)},
                 {"outcome", static_cast<std::int64_t>(outcome)}});
@@ -96,14 +96,14 @@
   transport::TransportSettings transport;
   transport.node = self_;
   transport.listen_address = self_.value;
-  transport.high_water_mark = kQueuedMessages;
-  transport.receive_high_water_mark = kUnreceivedMessages;
+  transport.high_water_mark = kSendQueueLimit;
+  transport.receive_high_water_mark = kReceiveQueueLimit;
   transport_ =
       transport::createZeroMqTransport(dispatcher_, transport, [this](const wire::Envelope& envelope) {
         const StepWatch::Step step(steps_, wire::messageKindName(envelope.message.index()));
         carryOut(control_->receive(envelope, now()));
       });
-  followPeers();
+  updatePeers();
   carryOut(control_->tick(now()));
 }
 
@@ -144,9 +144,9 @@
       kStorageRetry);
 }
 
-services::QuestionNumber ServiceControlShell::remember(AnswerCallback callback) {
-  const services::QuestionNumber number{next_question_++};
-  questions_.emplace(number, std::move(callback));
+services::QuestionNumber ServiceControlShell::registerCallback(AnswerCallback callback) {
+  const services::QuestionNumber number{next_request_number_++};
+  pending_requests_.emplace(number, std::move(callback));
   return number;
 }
 
@@ -154,22 +154,23 @@
                                          AnswerCallback callback) {
   log_.write(LogLevel::Info, "catalog.offered",
              {{"version", static_cast<std::int64_t>(catalog.version.value)},
-              {"held", static_cast<std::int64_t>(noted_.catalog.value)}});
-  const services::QuestionNumber number = remember(std::move(callback));
+              {"held", static_cast<std::int64_t>(logged_view_.catalog.value)}});
+  const services::QuestionNumber number = registerCallback(std::move(callback));
   const StepWatch::Step step(steps_, "catalog");
   carryOut(control_->replaceCatalog(number, std::move(catalog), std::move(source), now()));
 }
 
 void ServiceControlShell::readCatalog(AnswerCallback callback) {
-  const services::QuestionNumber number = remember(std::move(callback));
+  const services::QuestionNumber number = registerCallback(std::move(callback));
   carryOut(control_->readCatalog(number, now()));
 }
 
 void ServiceControlShell::evacuateZone(const ZoneName& zone, bool evacuated, AnswerCallback callback) {
-  constexpr std::size_t kShown = 64;
-  log_.write(LogLevel::Info, evacuated ? "zone.evacuate" : "zone.restore",
-             {{"zone", std::string_view(zone.value).substr(0, kShown)}, {"leads", noted_.leads}});
-  const services::QuestionNumber number = remember(std::move(callback));
+  constexpr std::size_t kMaxLoggedLength = 64;
+  log_.write(
+      LogLevel::Info, evacuated ? "zone.evacuate" : "zone.restore",
+      {{"zone", std::string_view(zone.value).substr(0, kMaxLoggedLength)}, {"leads", logged_view_.leads}});
+  const services::QuestionNumber number = registerCallback(std::move(callback));
   carryOut(control_->evacuateZone(number, zone, evacuated, now()));
 }
 
@@ -180,19 +181,19 @@
                 {"sequence", static_cast<std::int64_t>(report.sequence)},
                 {"ends_in_ms", report.ends_in_ms.value_or(-1)}});
   }
-  const services::QuestionNumber number = remember(std::move(callback));
+  const services::QuestionNumber number = registerCallback(std::move(callback));
   const StepWatch::Step step(steps_, "report");
   carryOut(control_->onReport(number, report, now()));
 }
 
 void ServiceControlShell::noteUnreadable(const std::string& path, const Error& fault) {
   // The path is chosen by the client and truncated; this length is enough to identify the request.
-  constexpr std::size_t kShown = 120;
+  constexpr std::size_t kMaxLoggedLength = 120;
   log_.write(LogLevel::Warning, "question.unreadable",
-             {{"path", std::string_view(path).substr(0, kShown)},
+             {{"path", std::string_view(path).substr(0, kMaxLoggedLength)},
               {"code", static_cast<std::int64_t>(fault.code())},
               {"field", std::string_view(fault.place())},
-              {"detail", std::string_view(fault.detail()).substr(0, kShown)}});
+              {"detail", std::string_view(fault.detail()).substr(0, kMaxLoggedLength)}});
 }
 
 std::vector<std::string> ServiceControlShell::routerAddresses(const ZoneName& zone, std::size_t limit) {
@@ -208,8 +209,8 @@
   for (services::Effect& effect : effects) {
     std::visit([this](auto& typed) { carryOut(typed); }, effect);
   }
-  followPeers();
-  noteBeliefs();
+  updatePeers();
+  logViewChanges();
   armTimer();
 }
 
@@ -238,12 +239,12 @@
 }
 
 void ServiceControlShell::carryOut(const services::AnswerEffect& effect) {
-  const auto found = questions_.find(effect.question);
-  if (found == questions_.end()) {
+  const auto found = pending_requests_.find(effect.question);
+  if (found == pending_requests_.end()) {
     return;
   }
   const AnswerCallback callback = std::move(found->second);
-  questions_.erase(found);
+  pending_requests_.erase(found);
   if (effect.code != ResultCode::Ok) {
     log_.write(LogLevel::Warning, "question.refused",
                {{"code", static_cast<std::int64_t>(effect.code)},
@@ -271,14 +272,14 @@
               {"after_ms", toMilliseconds(effect.since)}});
 }
 
-void ServiceControlShell::followPeers() {
+void ServiceControlShell::updatePeers() {
   const TimePoint time = now();
-  if (transport_ == nullptr || time < next_peers_look_) {
+  if (transport_ == nullptr || time < next_peer_check_) {
     return;
   }
-  next_peers_look_ = time + kPeersInterval;
+  next_peer_check_ = time + kPeerCheckInterval;
   std::vector<NodeName> nodes = control_->peers();
-  if (nodes == followed_peers_) {
+  if (nodes == connected_peers_) {
     return;
   }
   std::vector<transport::Peer> peers;
@@ -287,70 +288,71 @@
     peers.push_back({node, node.value, ""});
   }
   transport_->setPeers(std::move(peers));
-  followed_peers_ = std::move(nodes);
+  connected_peers_ = std::move(nodes);
 }
 
 /// Logs one line for each change of the member's view: leader, voters, catalog, evacuated zones.
-void ServiceControlShell::noteBeliefs() {
+void ServiceControlShell::logViewChanges() {
   const services::ServiceControlView view = control_->view(now());
-  if (view.leader != noted_.leader || view.term != noted_.term || view.leads != noted_.leads) {
+  if (view.leader != logged_view_.leader || view.term != logged_view_.term ||
+      view.leads != logged_view_.leads) {
     log_.write(LogLevel::Info, "cell.leader",
                {{"leader", std::string_view(view.leader.value)},
                 {"term", static_cast<std::int64_t>(view.term.value)},
                 {"leads", view.leads}});
   }
-  if (view.voters != noted_.voters) {
+  if (view.voters != logged_view_.voters) {
     log_.write(LogLevel::Info, "cell.voters",
                {{"voters", static_cast<std::int64_t>(view.voters)},
-                {"before", static_cast<std::int64_t>(noted_.voters)}});
+                {"before", static_cast<std::int64_t>(logged_view_.voters)}});
   }
-  if (view.catalog != noted_.catalog) {
+  if (view.catalog != logged_view_.catalog) {
     log_.write(LogLevel::Info, "catalog.committed",
                {{"version", static_cast<std::int64_t>(view.catalog.value)}});
   }
-  if (view.evacuated_zones != noted_.evacuated_zones) {
+  if (view.evacuated_zones != logged_view_.evacuated_zones) {
     log_.write(LogLevel::Info, "zone.evacuated",
                {{"zones", static_cast<std::int64_t>(view.evacuated_zones)},
-                {"before", static_cast<std::int64_t>(noted_.evacuated_zones)}});
+                {"before", static_cast<std::int64_t>(logged_view_.evacuated_zones)}});
   }
-  noted_ = view;
-  noteFleet();
+  logged_view_ = view;
+  logFleetChanges();
 }
 
 /// Logs the number of known replicas and routers if it has changed. Limited in rate, as the numbers change
 /// often and in steps of one.
-void ServiceControlShell::noteFleet() {
+void ServiceControlShell::logFleetChanges() {
   const TimePoint time = now();
-  if (time < next_fleet_note_) {
+  if (time < next_fleet_log_) {
     return;
   }
-  next_fleet_note_ = time + kFleetInterval;
+  next_fleet_log_ = time + kFleetLogInterval;
   const services::FleetView fleet = control_->fleet(time);
-  if (fleet != noted_fleet_) {
+  if (fleet != logged_fleet_) {
     log_.write(LogLevel::Info, "fleet.seen",
                {{"replicas", static_cast<std::int64_t>(fleet.replicas)},
                 {"routers", static_cast<std::int64_t>(fleet.routers)}});
   }
-  noted_fleet_ = fleet;
+  logged_fleet_ = fleet;
 }
 
 /// Logs the memory in use, and the traffic by kind of message since the previous call.
-void ServiceControlShell::noteLoad() {
-  load_timer_->enable(kLoadInterval);
+void ServiceControlShell::logResourceUsage() {
+  usage_timer_->enable(kUsageLogInterval);
   const transport::TransportCounts counts = transport_->counts();
   const struct mallinfo2 heap = mallinfo2();
   log_.write(LogLevel::Info, "process.held",
              {{"heap_bytes", static_cast<std::int64_t>(heap.uordblks)},
               {"heap_free_bytes", static_cast<std::int64_t>(heap.fordblks)},
               {"mapped_bytes", static_cast<std::int64_t>(heap.hblkhd)},
-              {"questions", static_cast<std::int64_t>(questions_.size())},
-              {"dropped", static_cast<std::int64_t>(counts.dropped - noted_counts_.dropped)},
-              {"leads", noted_.leads}});
+              {"questions", static_cast<std::int64_t>(pending_requests_.size())},
+              {"dropped", static_cast<std::int64_t>(counts.dropped - logged_counts_.dropped)},
+              {"leads", logged_view_.leads}});
   for (std::size_t kind = 0; kind < wire::kMessageKinds; ++kind) {
     const transport::MessageTraffic& sent = counts.sent_by_kind.at(kind);
     const transport::MessageTraffic& received = counts.received_by_kind.at(kind);
-    const transport::MessageTraffic& sent_before = noted_counts_.sent_by_kind.at(kind);
-    const transport::MessageTraffic& received_before = noted_counts_.received_by_kind.at(kind);
+    const transport::MessageTraffic& sent_before = logged_counts_.sent_by_kind.at(kind);
+    const transport::MessageTraffic& received_before = logged_counts_.received_by_kind.at(kind);
     if (sent.messages == sent_before.messages && received.messages == received_before.messages) {
       continue;
     }
@@ -361,7 +363,7 @@
                 {"received", static_cast<std::int64_t>(received.messages - received_before.messages)},
                 {"received_bytes", static_cast<std::int64_t>(received.bytes - received_before.bytes)}});
   }
-  noted_counts_ = counts;
+  logged_counts_ = counts;
 }
 
 void ServiceControlShell::armTimer() {
@@ -376,8 +378,8 @@
 
 void ServiceControlShell::replaceSeeds(const ServiceControlProcessSettings& fresh) {
   control_->addSeeds(fresh.seedNodes());
-  next_peers_look_ = {};
-  followPeers();
+  next_peer_check_ = {};
+  updatePeers();
   log_.write(LogLevel::Info, "process.reloaded", {{"seeds", static_cast<std::int64_t>(fresh.seeds.size())}});
 }
 
@@ -387,21 +389,22 @@
   }
   stop_began_ = now();
   on_stopped_ = std::move(on_stopped);
-  log_.write(LogLevel::Info, "process.stopping",
-             {{"leads", noted_.leads}, {"questions", static_cast<std::int64_t>(questions_.size())}});
+  log_.write(
+      LogLevel::Info, "process.stopping",
+      {{"leads", logged_view_.leads}, {"questions", static_cast<std::int64_t>(pending_requests_.size())}});
   carryOut(control_->beginStop(now()));
   continueStop();
 }
 
 void ServiceControlShell::continueStop() {
-  const bool handed_over = !control_->view(now()).leads && questions_.empty();
+  const bool handed_over = !control_->view(now()).leads && pending_requests_.empty();
   if (handed_over || now() - *stop_began_ >= kStopLimit) {
     if (on_stopped_) {
       std::exchange(on_stopped_, nullptr)();
     }
     return;
   }
-  stop_timer_->enable(kStopCheck);
+  stop_timer_->enable(kStopPollInterval);
 }
 
 std::string ServiceControlShell::metricsText() {
--- a/src/service_process/service_settings.cc
+++ b/src/service_process/service_settings.cc
@@ -10,13 +10,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t kLargestPort = std::numeric_limits<std::uint16_t>::max();
+constexpr std::int64_t kMaxPort = std::numeric_limits<std::uint16_t>::max();
 
 void readCommon(SettingsReader& reader, ServiceProcessSettings& settings) {
   settings.node = NodeName(reader.text("node"));
   settings.zone = ZoneName(reader.text("zone", ""));
   settings.host = reader.text("host");
-  settings.internal_port = static_cast<std::uint16_t>(reader.integer("internal_port", 0, kLargestPort));
+  settings.internal_port = static_cast<std::uint16_t>(reader.integer("internal_port", 0, kMaxPort));
   settings.seeds = reader.textList("seeds");
   for (const std::string& seed : settings.seeds) {
     process::parseAddress(seed);
@@ -82,9 +82,9 @@
   }
   settings.data_folder = reader.text("data_folder");
   settings.bootstrap = reader.boolean("bootstrap", false);
-  constexpr std::int64_t kMostLosses = 10;
-  settings.losses_borne =
-      static_cast<std::uint32_t>(reader.integer("losses_borne", 0, kMostLosses, settings.losses_borne));
+  constexpr std::int64_t kMaxToleratedLosses = 10;
+  settings.losses_borne = static_cast<std::uint32_t>(
+      reader.integer("losses_borne", 0, kMaxToleratedLosses, settings.losses_borne));
   settings.zones = reader.has("zones") ? reader.textList("zones") : std::vector<std::string>();
   settings.router_out_of_touch =
       reader.duration("router_out_of_touch", 100ms, 1h, settings.router_out_of_touch);
@@ -96,10 +96,10 @@
   placement.expected_times = reader.boolean("placement_expected_times", true);
   placement.prompt_doubts = reader.boolean("placement_prompt_doubts", true);
   settings.tells_loads = reader.boolean("balance_by_fleet_load", false);
-  constexpr std::uint64_t kSmallestBody = 1'000;
-  constexpr std::uint64_t kLargestBody = 1'000'000'000;
+  constexpr std::uint64_t kMinBodyBytes = 1'000;
+  constexpr std::uint64_t kMaxBodyBytes = 1'000'000'000;
   settings.max_body_bytes =
-      reader.bytes("max_body_bytes", kSmallestBody, kLargestBody, settings.max_body_bytes);
+      reader.bytes("max_body_bytes", kMinBodyBytes, kMaxBodyBytes, settings.max_body_bytes);
   reader.finish();
   return settings;
 }
--- a/src/service_process/step_watch.cc
+++ b/src/service_process/step_watch.cc
@@ -6,8 +6,8 @@
 namespace {
 
 /// Equal to the heartbeat interval.
-constexpr Duration kSlow = std::chrono::milliseconds(100);
-constexpr Duration kLineInterval = std::chrono::seconds(1);
+constexpr Duration kSlowStepThreshold = std::chrono::milliseconds(100);
+constexpr Duration kLogInterval = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -16,21 +16,21 @@
 
 StepWatch::Step::~Step() {
   const TimePoint now = watch_.time_source_.monotonicTime();
-  if (now - began_ >= kSlow) {
+  if (now - began_ >= kSlowStepThreshold) {
     watch_.onEnded(cause_, now - began_, now);
   }
 }
 
-void StepWatch::onEnded(std::string_view cause, Duration took, TimePoint now) {
-  if (now < next_line_) {
-    ++left_out_;
+void StepWatch::onEnded(std::string_view cause, Duration elapsed, TimePoint now) {
+  if (now < next_log_) {
+    ++suppressed_;
     return;
   }
-  next_line_ = now + kLineInterval;
+  next_log_ = now + kLogInterval;
   log_.write(LogLevel::Warning, "process.slow_step",
              {{"cause", cause},
-              {"took_ms", toMilliseconds(took)},
-              {"left_out", std::exchange(left_out_, std::int64_t{0})}});
+              {"took_ms", toMilliseconds(elapsed)},
+              {"left_out", std::exchange(suppressed_, std::int64_t{0})}});
 }
 
 }  // namespace ferryrock::service_process
--- a/src/service_process/step_watch.h
+++ b/src/service_process/step_watch.h
@@ -32,12 +32,12 @@
   };
 
  private:
-  void onEnded(std::string_view cause, Duration took, TimePoint now);
+  void onEnded(std::string_view cause, Duration elapsed, TimePoint now);
 
   TimeSource& time_source_;
   EventLog& log_;
-  TimePoint next_line_{};
-  std::int64_t left_out_ = 0;
+  TimePoint next_log_{};
+  std::int64_t suppressed_ = 0;
 };
 
 }  // namespace ferryrock::service_process
--- a/tests/service_process/replica_client_test.cc
+++ b/tests/service_process/replica_client_test.cc
@@ -68,15 +68,15 @@
 struct Fixture {
   Fixture() : client(http::createClient(loop.dispatcher())) {
     ReplicaCallbacks callbacks;
-    const auto hear = [this](const std::string& replica, const calls::ReplicaNotice& notice) {
+    const auto recordNotice = [this](const std::string& replica, const calls::ReplicaNotice& notice) {
       leaving += notice.leaving ? replica + " " : "";
       ended_before_notice = ended_before_notice || records[calls::AttemptNumber{next}].ended();
     };
-    callbacks.on_notice = [hear](const ReplicaId& replica, const calls::ReplicaNotice& notice) {
-      hear(replica.value, notice);
+    callbacks.on_notice = [recordNotice](const ReplicaId& replica, const calls::ReplicaNotice& notice) {
+      recordNotice(replica.value, notice);
     };
-    callbacks.on_head = [hear](calls::AttemptNumber attempt, const calls::ReplicaNotice& notice) {
-      hear("r" + std::to_string(attempt.value), notice);
+    callbacks.on_head = [recordNotice](calls::AttemptNumber attempt, const calls::ReplicaNotice& notice) {
+      recordNotice("r" + std::to_string(attempt.value), notice);
     };
     callbacks.on_answer = [this](calls::AttemptNumber number, const calls::AnswerSummary& answer) {
       records[number].answer = answer;
--- a/tests/service_process/step_watch_test.cc
+++ b/tests/service_process/step_watch_test.cc
@@ -16,7 +16,7 @@
   TimePoint now{1000s};
 };
 
-class LineCount : public EventLog {
+class RecordingLog : public EventLog {
  public:
   void write(LogLevel, std::string_view event, std::initializer_list<LogField>) override {
     lines.emplace_back(event);
@@ -26,7 +26,7 @@
 
 TEST_CASE("A step is logged only if it takes at least one heartbeat interval") {
   ScriptedClock clock;
-  LineCount log;
+  RecordingLog log;
   StepWatch watch(clock, log);
   {
     const StepWatch::Step step(watch, "tick");
@@ -42,7 +42,7 @@
 
 TEST_CASE("Slow steps are logged at most once per second") {
   ScriptedClock clock;
-  LineCount log;
+  RecordingLog log;
   StepWatch watch(clock, log);
   for (int i = 0; i < 30; ++i) {
     const StepWatch::Step step(watch, "tick");
