--- a/src/service_process/call_router_shell.h
+++ b/src/service_process/call_router_shell.h
@@ -70,7 +70,7 @@
   std::size_t connected_members_ = 0;
   TimePoint armed_until_ = TimePoint::max();
   std::optional<TimePoint> stop_began_;
-  bool listener_closed_ = false;  ///< the listening socket is closed
+  bool listener_closed_ = false;
   event::Callback on_stopped_;
 };
 
