--- a/src/service_process/call_router_shell.h
+++ b/src/service_process/call_router_shell.h
@@ -18,7 +18,7 @@
 /// A running call router process. All its parts run on one dispatcher.
 class CallRouterShell {
  public:
-  /// Starts listening. Throws Error if a socket can't be opened or a setting is invalid.
+  /// Starts listening. Throws Error if the process can't start with these settings.
   CallRouterShell(event::Dispatcher& dispatcher, CallRouterProcessSettings settings,
                   const CallDialect& dialect, EventLog& log);
   ~CallRouterShell();
--- a/tests/service_process/replica_client_test.cc
+++ b/tests/service_process/replica_client_test.cc
@@ -137,7 +137,7 @@
   CHECK_FALSE(fixture.ended_before_notice);
 }
 
-TEST_CASE("A call is sent to the replica byte for byte, without added headers") {
+TEST_CASE("A call is sent to the replica byte for byte, without added Accept or Content-Type headers") {
   std::string seen;
   ScriptedServer server([&seen](RawConnection& connection, int) {
     seen = connection.readRequest();
@@ -162,7 +162,7 @@
   std::string body;
 };
 
-TEST_CASE("Truncated, foreign and malformed responses are reported as failures") {
+TEST_CASE("Only a complete response with the id of the call is reported as its answer") {
   using calls::AttemptFailure;
   const std::vector<AnswerCase> cases = {
       {"with length", answerText("Content-Length: 2\r\n", "ok"), false, std::nullopt, "ok"},
