--- a/tests/service_process/step_watch_test.cc
+++ b/tests/service_process/step_watch_test.cc
@@ -16,7 +16,7 @@
   TimePoint now{1000s};
 };
 
-class LineCount : public EventLog {
+class RecordingLog : public EventLog {
  public:
   void write(LogLevel, std::string_view event, std::initializer_list<LogField>) override {
     lines.emplace_back(event);
@@ -24,9 +24,9 @@
   std::vector<std::string> lines;
 };
 
-TEST_CASE("A step that takes as long as a heartbeat's interval is logged, a shorter one isn't") {
+TEST_CASE("A step is logged only if it takes at least one heartbeat interval") {
   ScriptedClock clock;
-  LineCount log;
+  RecordingLog log;
   StepWatch watch(clock, log);
   {
     const StepWatch::Step step(watch, "tick");
@@ -40,9 +40,9 @@
   CHECK(log.lines == std::vector<std::string>{"process.slow_step"});
 }
 
-TEST_CASE("Of many slow steps one a second is logged") {
+TEST_CASE("Slow steps are logged at most once per second") {
   ScriptedClock clock;
-  LineCount log;
+  RecordingLog log;
   StepWatch watch(clock, log);
   for (int i = 0; i < 30; ++i) {
     const StepWatch::Step step(watch, "tick");
