--- a/src/services/catalog_rules.cc
+++ b/src/services/catalog_rules.cc
@@ -21,12 +21,12 @@
   std::uint64_t weights = 0;
   for (const wire::RouteTarget& target : route.targets) {
     if (!services.contains(target.service)) {
-      refuse("there is no service '" + target.service.value + "'", place);
+      refuse("unknown service '" + target.service.value + "'", place);
     }
     weights += target.weight;
   }
   if (weights == 0) {
-    refuse("the weights of the services add up to 0", place);
+    refuse("the weights of the route's services add up to 0", place);
   }
 }
 
@@ -41,7 +41,7 @@
     for (const std::string& key : tenant.keys) {
       const auto [holder, first] = holders.emplace(key, tenant.name);
       if (!first && holder->second != tenant.name) {
-        refuse("it shares a key with tenant '" + holder->second.value + "'", place);
+        refuse("the tenant has a key in common with tenant '" + holder->second.value + "'", place);
       }
     }
   }
@@ -65,7 +65,7 @@
       refuse("another route has the same host and path prefix", place);
     }
     if (route.timeout_ms <= 0) {
-      refuse("the timeout must be above 0", place);
+      refuse("the timeout must be above 0 ms, got " + std::to_string(route.timeout_ms), place);
     }
   }
 }
--- a/src/services/catalog_rules.h
+++ b/src/services/catalog_rules.h
@@ -2,13 +2,14 @@
 
 #include "wire/service_types.h"
 
-/// Control of hosted services: the catalog, the registry of replicas, the directory of routers, the upkeep of
-/// the cell and the placement of models. Logic only.
+/// Control plane of hosted services: the catalog, the replica registry, the router directory, cell membership
+/// and model placement. Pure logic without I/O.
 namespace ferryrock::services {
 
-/// Throws Error InvalidCatalog with the place of the first contradiction: a route that names an unknown
-/// service, two routes of one host and prefix, weights that add up to 0, a timeout that isn't positive,
-/// two tenants of one name or with a common key. The text shows no key.
+/// Throws Error InvalidCatalog with the place of the first violation: a route to an unknown service, two
+/// routes with the same host and path prefix, service weights that add up to 0, a timeout that isn't
+/// positive, two services with the same name, or two tenants with the same name or a common key. The error
+/// message never contains a key.
 void checkCatalog(const wire::ServiceCatalog& catalog);
 
 }  // namespace ferryrock::services
--- a/src/services/catalog_spread.cc
+++ b/src/services/catalog_spread.cc
@@ -3,9 +3,9 @@
 namespace ferryrock::services {
 namespace {
 
-/// Between two looks at the routers; a large fleet has some 300 of them.
+/// Minimum time between two scans of the routers; a large fleet has some 300 of them.
 constexpr Duration kLookInterval = std::chrono::milliseconds(50);
-/// Between two accounts of routers that are behind, and before the first one.
+/// Time between two reports of routers that are behind, and before the first report.
 constexpr Duration kWordInterval = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/services/catalog_spread.h
+++ b/src/services/catalog_spread.h
@@ -10,25 +10,28 @@
 
 namespace ferryrock::services {
 
-/// Effect: how far the newest committed catalog has come among the routers that the leader hears.
+/// Effect: rollout state of the newest committed catalog among the routers that are in contact with the
+/// leader.
 struct CatalogSpreadEffect {
   CatalogVersion version;
-  std::size_t routers = 0;  ///< heard within the limit
-  std::size_t behind = 0;   ///< of these, without the version; 0: it is in force everywhere
-  NodeName router;          ///< one that is behind; empty: none
-  CatalogVersion held;      ///< by that router
-  Duration silent{};        ///< since that router was heard
-  Duration since{};         ///< since the leader learned that the version is committed
+  std::size_t routers = 0;  ///< routers in contact with the leader
+  std::size_t behind = 0;   ///< of these, routers on an older version; 0: the version is in force everywhere
+  NodeName router;          ///< first router that is behind, by name; empty: none
+  CatalogVersion held;      ///< version in force at that router
+  Duration silent{};        ///< time since the last status of that router
+  Duration since{};         ///< time since the leader learned that the version is committed
 };
 
-/// Follows one leader's newest catalog until every router that is heard has it in force. Used by one thread.
+/// Tracks the rollout of one leader's newest catalog until it is in force at every router in contact. Used by
+/// one thread.
 class CatalogSpread {
  public:
-  /// out_of_touch: routers that are silent for longer aren't waited for.
+  /// out_of_touch: routers whose last status is older than this are excluded from the rollout.
   explicit CatalogSpread(Duration out_of_touch) : out_of_touch_(out_of_touch) {}
 
-  /// Something to tell: once when the version is everywhere, once a second while it isn't. Looks at the
-  /// routers no more often than each 50 ms, and not at all once the version is everywhere.
+  /// Returns a state to report: once when the version is in force at all routers in contact, and once a
+  /// second until then. Scans the routers at most every 50 ms, and stops scanning once the rollout is
+  /// complete.
   std::optional<CatalogSpreadEffect> look(CatalogVersion version,
                                           const std::map<NodeName, RouterRecord>& routers, TimePoint now);
 
--- a/src/services/cell_keeper.cc
+++ b/src/services/cell_keeper.cc
@@ -7,7 +7,7 @@
 namespace ferryrock::services {
 namespace {
 
-/// A process that said hello is believed to be there for this long.
+/// A process counts as alive for this long after its last hello.
 constexpr Duration kHelloLasts = std::chrono::seconds(2);
 
 control::MembershipChange change(control::MembershipAction action, const wire::Member& member) {
@@ -56,7 +56,8 @@
   return dropSilentLearner(membership, now);
 }
 
-/// A process at a member's node name with another identity has an empty disk in the old one's place.
+/// A process that has a member's node name but another identity has lost its disk: the identity is stored
+/// there.
 std::optional<control::MembershipChange> CellKeeper::replaceLostDisk(const wire::Membership& membership,
                                                                      TimePoint now) const {
   for (const auto& [node, contact] : contacts_) {
@@ -85,8 +86,8 @@
   return std::nullopt;
 }
 
-/// A learner is promoted before the silent voter that it replaces is removed, so that only one that has
-/// caught up counts.
+/// Promotes a learner before the silent voter that it replaces is removed: promotion requires that the
+/// learner has caught up, so a voter is only removed once a replacement holds the log.
 std::optional<control::MembershipChange> CellKeeper::useLearner(const wire::Membership& membership,
                                                                 MemberId self, TimePoint now) const {
   const wire::Member* learner = nullptr;
--- a/src/services/cell_keeper.h
+++ b/src/services/cell_keeper.h
@@ -11,30 +11,32 @@
 namespace ferryrock::services {
 
 struct CellKeeperSettings {
-  /// Voters that the cell should have: 2 x (losses to be borne) + 1.
+  /// Target number of voters: 2 x (tolerated disk losses) + 1.
   std::size_t wanted_voters = 3;
-  /// A voter that is silent for longer gives its place to a learner that has caught up.
+  /// A voter without a hello for longer than this is replaced by a learner that has caught up.
   Duration replaced_after = std::chrono::seconds(5);
-  /// A learner that is silent for longer is dropped.
+  /// A learner without a hello for longer than this is removed.
   Duration learner_dropped_after = std::chrono::seconds(10);
 };
 
-/// Decides how the cell's membership is mended: processes that ask are taken in as learners, learners become
-/// voters while voters are missing, and a voter is replaced when its disk was lost or when it is silent and
-/// a learner stands ready. One change at a time. Used by one thread.
+/// Decides which membership change the cell needs next: processes that request to join are added as learners,
+/// learners are promoted while the cell has too few voters, and a voter is replaced when its disk was lost,
+/// or when it is silent and a learner is available. One change at a time. Used by one thread.
 class CellKeeper {
  public:
   CellKeeper(const CellKeeperSettings& settings, TimePoint now) : settings_(settings), started_(now) {}
 
   void onHello(const wire::MemberHello& hello, TimePoint now);
-  /// Leadership began: what was heard before may be old.
+  /// Called when this member becomes leader. Hellos received earlier may be outdated, so silence is measured
+  /// from `now` at the earliest.
   void onLeadership(TimePoint now) { started_ = now; }
-  /// The change to make next; nullopt: none.
+  /// Returns the next membership change to propose; nullopt: none.
   std::optional<control::MembershipChange> nextChange(const wire::Membership& membership, MemberId self,
                                                       TimePoint now) const;
-  /// The member's latest hello; nullptr: none.
+  /// Returns the latest hello of the process at the node; nullptr: none was received.
   const wire::MemberHello* helloOf(const NodeName& node) const;
-  /// HTTP addresses of the other members that said hello of late and hear a leader, in a stable order.
+  /// HTTP addresses of the other members that sent a hello within the last 2 s and have contact with a
+  /// leader, in a stable order.
   std::vector<std::string> servingMembers(const wire::Membership& membership, TimePoint now) const;
 
  private:
--- a/src/services/leave_notices.h
+++ b/src/services/leave_notices.h
@@ -10,30 +10,33 @@
 
 namespace ferryrock::services {
 
-/// Who waits for a notice to bind: a question of this member's own shell, or another member's request.
+/// Origin of a leave notice, which is answered once the notice binds: a request to this member itself, or a
+/// request that another member forwarded.
 struct NoticeOrigin {
-  std::optional<std::uint64_t> question;  ///< of the own shell
-  NodeName member;                        ///< otherwise: who asked
-  std::uint64_t number = 0;               ///< the asking member's
+  std::optional<std::uint64_t> question;  ///< request to this member; nullopt: forwarded
+  NodeName member;                        ///< member that forwarded the request
+  std::uint64_t number = 0;               ///< number of the request at that member
 };
 
+/// Notice that a replica stops taking new calls. It binds once no router in contact may send new calls there.
 struct LeaveNotice {
   NoticeOrigin origin;
   ReplicaId replica;
   TimePoint deadline{};
-  std::optional<LogIndex> revision;  ///< that routers must hold; set once the notice is committed
-  std::uint64_t closing = 0;         ///< RouterTables::closings() then
-  bool confirming = false;           ///< a quorum is asked whether this member still leads
-  std::uint64_t read = 0;
+  std::optional<LogIndex> revision;  ///< revision that routers must hold; set once the notice is committed
+  std::uint64_t closing = 0;         ///< RouterTables::closings() when the revision was set
+  bool confirming = false;           ///< a quorum read that confirms this member's leadership is pending
+  std::uint64_t read = 0;            ///< id of that quorum read
 };
 
-/// Notices that replicas leave, until they bind or their time is over. Used by one thread.
+/// Pending leave notices of replicas; a notice is removed when it binds or its deadline passes. Used by one
+/// thread.
 class LeaveNotices {
  public:
   LeaveNotice& add(LeaveNotice notice) { return notices_.emplace_back(std::move(notice)); }
   std::vector<LeaveNotice>& all() { return notices_; }
   const std::vector<LeaveNotice>& all() const { return notices_; }
-  /// Takes out and returns the notices that the predicate selects.
+  /// Removes and returns the notices that the predicate selects.
   template <class Predicate>
   std::vector<LeaveNotice> takeIf(Predicate selects) {
     std::vector<LeaveNotice> taken;
@@ -44,7 +47,7 @@
     notices_ = std::move(kept);
     return taken;
   }
-  /// Earliest deadline; TimePoint::max() without a notice.
+  /// Returns the earliest deadline; TimePoint::max(): no notice is pending.
   TimePoint nextDeadline() const;
 
  private:
--- a/src/services/limit_ledger.cc
+++ b/src/services/limit_ledger.cc
@@ -8,17 +8,19 @@
 
 using namespace std::chrono_literals;
 
-/// Credit that an account saves up, in calls, and as a time at its rate: calls that come at once at several
-/// routers needn't come at the pace of the limit.
+/// Burst size: an account accumulates credit for this many calls, or for this time at its rate if that is
+/// more. Calls that arrive together at several routers thus needn't be spaced at the rate of the limit.
 constexpr double kLeastBurst = 1;
 constexpr double kBurstSeconds = 0.25;
-/// No credit is promised for later than this.
+/// Upper bound on the wait of a call that is granted credit in advance, and on the wait times announced to
+/// refused callers beyond the next available credit.
 constexpr Duration kLongestPromise = 5s;
-/// Routers are told another value if it differs by this factor, and not more often; the exact one is needed
-/// here alone.
+/// Routers receive a new rate only if it differs from the published one by this factor, and at most once per
+/// interval. Only the ledger needs the exact rate.
 constexpr double kToldFactor = 1.25;
 constexpr Duration kToldInterval = 1s;
-/// An ended limit is remembered for routers that heard it named before.
+/// Retention of a limit that has ended, so that late reports of routers that observed it earlier don't revive
+/// it.
 constexpr Duration kEndRemembered = 60s;
 constexpr std::size_t kMostAccounts = 10'000;
 constexpr std::size_t kMostRequesters = 10'000;
@@ -58,7 +60,7 @@
   return reply;
 }
 
-/// A message that comes twice would charge and return twice.
+/// Rejects duplicate and reordered messages: processing a message twice would charge and return credit twice.
 bool LimitLedger::isNew(const wire::LimitRequest& request) {
   if (requesters_.size() >= kMostRequesters && !requesters_.contains(request.router)) {
     requesters_.clear();
@@ -100,7 +102,8 @@
   keepBounded();
 }
 
-/// The call whose answer names no limit left after the limit was last named, so the answer is the later word.
+/// `sent` is the time at which the call was sent whose response carries no limit. The response supersedes the
+/// limit only if the call was sent after the limit was last observed.
 void LimitLedger::end(const ReplicaId& replica, TimePoint sent) {
   const auto account = accounts_.find(replica);
   if (account == accounts_.end() || account->second.ended || sent <= account->second.named) {
@@ -131,8 +134,9 @@
   account.credited = now;
 }
 
-/// Credit is granted in the order in which it is asked for, also for a later time that the call can wait for.
-/// Callers that are refused are told one moment after the other, at the pace at which credit comes.
+/// Grants credit in the order of the requests, in advance as well if the call can wait for it. Refused
+/// callers get retry times that are staggered at the rate at which credit accrues, so that they don't return
+/// together.
 wire::LimitDecision LimitLedger::decide(const wire::LimitAsk& ask, TimePoint now) {
   wire::LimitDecision decision;
   decision.number = ask.number;
@@ -183,7 +187,7 @@
       std::count_if(accounts_.begin(), accounts_.end(), [](const auto& item) { return !item.second.ended; }));
 }
 
-/// The one that was named the longest ago goes.
+/// Evicts the account whose limit was observed least recently.
 void LimitLedger::keepBounded() {
   if (accounts_.size() <= kMostAccounts) {
     return;
--- a/src/services/limit_ledger.h
+++ b/src/services/limit_ledger.h
@@ -15,39 +15,40 @@
 /// Counts for metrics.
 struct LimitCounts {
   std::uint64_t granted = 0;
-  std::uint64_t reserved = 0;  ///< of those granted, for a later time
+  std::uint64_t reserved = 0;  ///< granted in advance, for a later time; part of `granted`
   std::uint64_t refused = 0;
   std::uint64_t returned = 0;
 };
 
-/// One leader's account of the calls that replicas take a second from all routers together. Routers tell what
-/// replicas named, and ask before they send a call there; what is granted in any time is no more than the
-/// limit allows and kBurst. What earlier leaders granted isn't known: an account begins without credit. Used
-/// by one thread.
+/// One leader's account of the call rates that replicas accept from all routers together. Routers report the
+/// limits that they observe in responses of replicas, and request credit before they send a call to a limited
+/// replica. In any period the ledger grants no more than the limit allows plus a burst (kLeastBurst,
+/// kBurstSeconds). Grants of earlier leaders aren't known, so an account starts without credit. Used by one
+/// thread.
 class LimitLedger {
  public:
-  /// The answer lists a decision for each ask.
+  /// Returns a reply with one decision for each credit request; without decisions for a duplicate message.
   wire::LimitReply accept(const wire::LimitRequest& request, TimePoint now);
-  /// Replicas whose limit began, ended or became a different one for routers, since this was last asked; with
-  /// the calls a second, nullopt: no limit.
+  /// Returns and clears the replicas whose published limit started, changed or ended since the last call,
+  /// with the limit in calls per second; nullopt: no limit.
   std::vector<std::pair<ReplicaId, std::optional<double>>> takeChanges();
-  /// Forgets what is old enough to be of no use.
+  /// Removes limits that ended more than 60 s ago.
   void expire(TimePoint now);
 
-  /// Limits that hold.
+  /// Returns the number of limits that are in force.
   std::size_t limited() const;
   const LimitCounts& counts() const { return counts_; }
 
  private:
   struct Account {
     double per_second = 0;
-    double credit = 0;  ///< calls; below 0: promised for later
-    TimePoint credited{};
-    TimePoint named{};               ///< last, by any router
-    std::optional<TimePoint> ended;  ///< no limit since then
-    TimePoint promised{};            ///< refused callers were told times up to this one
-    std::optional<double> told;      ///< to routers
-    TimePoint told_at{};
+    double credit = 0;               ///< in calls; below 0: granted in advance
+    TimePoint credited{};            ///< when credit was last refilled
+    TimePoint named{};               ///< latest observation of the limit by any router
+    std::optional<TimePoint> ended;  ///< when the limit ended; nullopt: in force
+    TimePoint promised{};            ///< end of the retry times announced to refused callers
+    std::optional<double> told;      ///< rate published to routers, in calls per second
+    TimePoint told_at{};             ///< when `told` was last changed
   };
   struct Requester {
     std::uint64_t incarnation = 0;
--- a/src/services/proof_requests.h
+++ b/src/services/proof_requests.h
@@ -10,18 +10,19 @@
 
 namespace ferryrock::services {
 
-/// Routers that can't prove their catalog for long. One can be told that it may once a majority of the
-/// members has followed the leader after its status came. Requests are kept in the order in which they came,
-/// so that looking for those that can be answered costs what is answered, however many wait. Used by one
-/// thread.
+/// Pending requests of routers whose proof that their catalog is current is missing or about to expire. The
+/// leader can answer a request once a majority of the members has followed it after the router's status
+/// arrived. Requests are kept in order of arrival, so that the cost of a scan depends on the number of
+/// requests that it answers and not on the number pending. Used by one thread.
 class ProofRequests {
  public:
-  /// The router's status came just now; its former request, if any of the same life waits, keeps its place.
+  /// Adds a request of a router whose status arrived at `now`. A pending request of the same incarnation
+  /// keeps its place in the queue; a request of another incarnation is replaced.
   void add(const NodeName& router, std::uint64_t incarnation, TimePoint now);
-  /// The routers whose requests came no later than `followed`; they are forgotten.
+  /// Removes and returns the routers whose requests arrived no later than `followed`.
   std::vector<NodeName> takeAnswerable(TimePoint followed);
   bool empty() const { return waiting_.empty(); }
-  /// Requests that were looked at so far.
+  /// Number of queue entries examined by all calls of takeAnswerable() so far.
   std::uint64_t examined() const { return examined_; }
 
  private:
@@ -35,7 +36,7 @@
   };
 
   std::map<NodeName, Request> waiting_;
-  std::deque<Place> order_;  ///< oldest first; also of lives that have ended
+  std::deque<Place> order_;  ///< oldest first; may contain entries of former incarnations, which are skipped
   std::uint64_t examined_ = 0;
 };
 
--- a/src/services/replica_registry.cc
+++ b/src/services/replica_registry.cc
@@ -9,15 +9,17 @@
 namespace {
 
 constexpr std::size_t kRememberedRemovals = 4096;
-/// Reports show an adapter or a withdrawn model's end within this time, else the assumption was wrong.
+/// Reports must confirm an ordered adapter load or model unload within this time; otherwise the order is
+/// taken to have failed.
 constexpr Duration kAssumptionLasts = std::chrono::seconds(4);
-/// A living replica has reported within this time: two heartbeats of 1.2 s.
+/// A replica counts as alive if its last report is no older than two heartbeats of 1.2 s plus a margin.
 constexpr Duration kAlive = std::chrono::milliseconds(2500);
-/// How long a report may be on its way behind a cut and still be known as late.
+/// Retention of removed replicas and their incarnations: reports that a network partition delays by up to
+/// this time are recognised as stale.
 constexpr Duration kForgottenKnown = std::chrono::minutes(5);
 
-/// True when routers see no difference. How long a replica is still slow from its start they count
-/// themselves.
+/// Returns true if the reports are equivalent for routers. The remaining slow start time isn't compared,
+/// since routers count it down themselves.
 bool sameForRouters(const wire::ReplicaReport& left, const wire::ReplicaReport& right) {
   const bool same_start = (left.slow_start_ms > 0) == (right.slow_start_ms > 0);
   return same_start && left.service == right.service && left.address == right.address &&
@@ -115,8 +117,8 @@
   return life != lives_.end() && wire::replicaBorn(life->second.id) > wire::replicaBorn(id);
 }
 
-/// The former life ends with the first word of its successor: what it held, its counts and its notices are
-/// not the successor's.
+/// Records the replica's current incarnation. The former one is removed with the first report of its
+/// successor, which inherits neither its models nor its report sequence nor its leave notices.
 void ReplicaRegistry::noteLife(const ReplicaId& id, TimePoint now) {
   if (wire::replicaBorn(id) == 0) {
     return;
--- a/src/services/replica_registry.h
+++ b/src/services/replica_registry.h
@@ -14,55 +14,60 @@
 
 namespace ferryrock::services {
 
-/// A replica as it last reported itself.
+/// State of a replica according to its latest report.
 struct ReplicaRecord {
   wire::ReplicaReport report;
-  TimePoint heard{};
-  bool leaving = false;
-  std::uint64_t left = 0;     ///< the registry's count when it was found to leave
-  std::uint64_t changed = 0;  ///< the registry's count when routers last got something new about it
-  /// Adapters whose load was taken by the replica, by (model, adapter), until they show in a report.
+  TimePoint heard{};          ///< time of the last contact
+  bool leaving = false;       ///< drains: gets no new calls
+  std::uint64_t left = 0;     ///< ReplicaRegistry::changes() when `leaving` was set
+  std::uint64_t changed = 0;  ///< ReplicaRegistry::changes() at the last change that concerns routers
+  /// Adapters that the replica accepted for loading, by (model, adapter), until a report lists them; with the
+  /// time of the order.
   std::map<std::pair<ModelName, std::string>, TimePoint> assumed_adapters;
-  std::optional<double> calls_per_second;  ///< that it takes from all routers together; nullopt: no limit
-  bool limit_ended = false;                ///< it had one
-  /// Models whose unload was ordered; routers don't see them any more.
+  std::optional<double> calls_per_second;  ///< limit over all routers together; nullopt: no limit
+  bool limit_ended = false;                ///< the replica had a limit, which has ended
+  /// Models whose unload was ordered, with the time of the order; they are hidden from routers.
   std::map<ModelName, TimePoint> withdrawn_models;
 
-  /// What routers may use.
+  /// Models and adapters that routers may use: the reported ones without withdrawn models, plus assumed
+  /// adapters.
   std::vector<wire::HeldModel> usable() const;
 };
 
 enum class ReportNews : std::uint8_t {
-  Late,     ///< older than what is known, or of a replica or a life that was replaced: nothing was taken
-  Same,     ///< a sign of life
-  Changed,  ///< routers need to know
+  Late,     ///< superseded, or from a replica or incarnation that was replaced: the report was ignored
+  Same,     ///< a heartbeat without a change that concerns routers
+  Changed,  ///< routers need an update
 };
 
-/// Replicas that report themselves. Soft state: a member that starts knows none until they report. A replica
-/// that starts again under its name replaces its former life, wherever that one stood, and reports of the
-/// former life that come late change nothing. Used by one thread.
+/// Replicas that report to the cell. Soft state: a member starts with an empty registry, which fills as
+/// replicas report. A replica that restarts under its name replaces its former incarnation, also at another
+/// address, and late reports of the former incarnation are ignored. Used by one thread.
 class ReplicaRegistry {
  public:
-  /// A report without an address is a bare notice that the replica leaves.
-  /// is_configured: the catalog names the report's service. A report of another service takes no address from
-  /// a replica that is alive.
+  /// Applies a report. A report without an address is a bare leave notice.
+  /// is_configured: the catalog contains the report's service. A report of any other service is ignored while
+  /// its address belongs to a replica that is alive.
   ReportNews accept(const wire::ReplicaReport& report, TimePoint now, bool is_configured = true);
-  /// The life that a notice means which names a replica and no start; the id itself if none is known.
+  /// Resolves an id without a start time, as in bare leave notices, to the replica's latest known
+  /// incarnation; returns the id itself if it has a start time or no incarnation is known.
   ReplicaId currentLife(const ReplicaId& id) const;
-  /// A known replica reported the same as before.
+  /// Records an unchanged report of a known replica; others are ignored.
   void noteAlive(const wire::ReplicaAlive& alive, TimePoint now);
-  /// Sticky for the replica's life; known replicas only.
+  /// Marks a known replica as leaving until its incarnation ends; unknown replicas are ignored.
   void markLeaving(const ReplicaId& id);
-  /// Known replicas only; nullopt: it has ended.
+  /// Sets the limit of a known replica over all routers; nullopt: the limit has ended. Unknown replicas are
+  /// ignored.
   void setLimit(const ReplicaId& id, std::optional<double> calls_per_second);
-  /// What an earlier leader's routers heard isn't known to be so any more.
+  /// Removes all limits, which came from an earlier leader and may be outdated.
   void clearLimits();
-  /// The zones whose replicas take no new calls, in place of those before.
+  /// Replaces the set of zones whose replicas accept no new calls.
   void setEvacuated(const std::set<ZoneName>& zones);
   bool isEvacuated(const ReplicaRecord& record) const { return evacuated_.contains(record.report.zone); }
-  /// False for a replica that leaves or whose zone is evacuated.
+  /// Returns false for a replica that is leaving or whose zone is evacuated.
   bool takesCalls(const ReplicaRecord& record) const { return !record.leaving && !isEvacuated(record); }
-  /// Forgets replicas that have been silent since then, and assumptions that no report has confirmed.
+  /// Removes replicas whose last contact is more than `silence` ago, and assumed adapters and withdrawn
+  /// models that no report has confirmed within 4 s.
   void expire(TimePoint now, Duration silence);
 
   void assumeAdapter(const ReplicaId& id, const ModelName& model, const std::string& adapter, TimePoint now);
@@ -70,16 +75,18 @@
   void withdrawModel(const ReplicaId& id, const ModelName& model, TimePoint now);
   void restoreModel(const ReplicaId& id, const ModelName& model);
 
-  /// From here on routers need the whole table: what they hold may list replicas that are gone.
+  /// Makes incremental updates from earlier revisions impossible, so that all routers get a full table: the
+  /// tables that they hold may list replicas that are gone.
   void renewAll();
 
   const std::map<ReplicaId, ReplicaRecord>& replicas() const { return replicas_; }
   const ReplicaRecord* find(const ReplicaId& id) const;
-  /// Raised whenever routers need to know something new.
+  /// Change count; rises with every change that concerns routers.
   std::uint64_t changes() const { return changes_; }
-  /// Replicas that changed for routers, or were forgotten, since this was last asked.
+  /// Returns and clears the replicas that changed for routers or were removed since the last call.
   std::set<ReplicaId> takeTouched() { return std::exchange(touched_, {}); }
-  /// Replicas forgotten after that count of changes; false if that is too long ago to be known.
+  /// Appends the replicas removed after the given change count. Returns false if the retained removals don't
+  /// reach back that far.
   bool removedSince(std::uint64_t change, std::vector<ReplicaId>& removed) const;
 
  private:
@@ -88,7 +95,7 @@
     ReplicaId id;
   };
 
-  /// The latest life that is known of a replica that tells its start.
+  /// Latest known incarnation of a replica that reports its start time.
   struct Life {
     ReplicaId id;
     TimePoint heard{};
@@ -96,8 +103,8 @@
 
   void remove(std::map<ReplicaId, ReplicaRecord>::iterator replica, TimePoint now);
   ReportNews addReplica(const wire::ReplicaReport& report, TimePoint now);
-  /// True for a report that was held up on its way: its sender was forgotten, and its address is another's,
-  /// which is alive.
+  /// Returns true for a delayed report: its sender was removed, and its address belongs to another replica
+  /// that is alive.
   bool isReplaced(const wire::ReplicaReport& report, TimePoint now) const;
   bool addressIsInUse(const wire::ReplicaReport& report, TimePoint now) const;
   void setReport(ReplicaRecord& record, const wire::ReplicaReport& report);
@@ -111,10 +118,10 @@
   std::map<ReplicaId, ReplicaRecord> replicas_;
   std::map<std::string, std::set<ReplicaId>> by_address_;
   std::set<ZoneName> evacuated_;
-  std::map<ReplicaId, TimePoint> forgotten_;  ///< with the time; for a while
-  std::map<std::string, Life> lives_;         ///< by the name that the replica gives itself
+  std::map<ReplicaId, TimePoint> forgotten_;  ///< removed replicas with the time of removal; kept for 5 min
+  std::map<std::string, Life> lives_;         ///< by the replica's name
   std::deque<Removal> removals_;              ///< oldest first
-  std::uint64_t removals_known_from_ = 0;     ///< every removal after this count is listed
+  std::uint64_t removals_known_from_ = 0;     ///< removals_ is complete for changes after this count
   std::uint64_t changes_ = 0;
   std::set<ReplicaId> touched_;
 };
--- a/src/services/report_relay.cc
+++ b/src/services/report_relay.cc
@@ -6,17 +6,19 @@
 namespace ferryrock::services {
 namespace {
 
-/// Reports that say nothing new are told whole now and then, for members that joined since.
+/// In a small fleet every fifth unchanged report is relayed in full, for members that joined since the last
+/// one.
 constexpr std::uint64_t kWholeReportEvery = 5;
-/// In a large fleet: reports between two that all members hear of, of the minute after which a member that
-/// doesn't lead forgets a silent replica.
+/// In a large fleet one in this many unchanged reports is relayed to all members. Members that don't lead
+/// remove a silent replica only after a minute, so that they need heartbeats less often than the leader.
 constexpr std::uint64_t kToldToAllEvery = 16;
+/// Maximum delay of unchanged reports, which are relayed in batches.
 constexpr Duration kRelayDelay = std::chrono::milliseconds(100);
-/// Between two batches with changes.
+/// Minimum time between two batches with changes.
 constexpr Duration kChangeSpacing = std::chrono::milliseconds(10);
-/// A replica that was silent here for longer reports elsewhere.
+/// A replica without a report to this member for longer than this is assumed to report to another member.
 constexpr Duration kReportsHere = std::chrono::seconds(3);
-/// Some 150 bytes each.
+/// A report takes some 150 bytes.
 constexpr std::size_t kReportsPerMessage = 400;
 
 }  // namespace
--- a/src/services/report_relay.h
+++ b/src/services/report_relay.h
@@ -11,25 +11,29 @@
 
 namespace ferryrock::services {
 
-/// What a member tells the others of the replicas that report to it.
+/// Relays the reports of the replicas that report to this member to the other members.
 ///
-/// Of a small fleet all members are told all, changes at once. Of a large one, changes go to all members, in
-/// batches, so that each could lead at once; signs of life go to the leader, who alone decides that a replica
-/// is gone, and to the others only seldom. A new leader is told every replica that reports here, whole. So
-/// the members' work grows with the replicas, and with replicas x members only by what changes.
-/// Used by one thread.
+/// In a small fleet all reports go to all members, and changes are relayed at once. In a large fleet changes
+/// go to all members in batches, so that each member could take over leadership at once. Heartbeats without
+/// changes go to the leader, which alone decides that a replica is gone, and only rarely to the other
+/// members. A new leader receives the full report of every replica that reports to this member. The members'
+/// work therefore grows with the number of replicas; only changes cost replicas x members. Used by one
+/// thread.
 class ReportRelay {
  public:
   struct Batches {
     wire::ReplicaReports to_all;
-    wire::ReplicaReports to_leader;  ///< beside to_all
+    wire::ReplicaReports to_leader;  ///< in addition to to_all
   };
 
+  /// Queues a report that a replica sent to this member. changed: it differs from the previous report for
+  /// routers.
   void onReport(const wire::ReplicaReport& report, bool changed, bool large_fleet, TimePoint now);
-  /// When take() is due; TimePoint::max(): nothing waits.
+  /// When take() is due; TimePoint::max(): no report is pending.
   TimePoint due() const { return due_; }
+  /// Returns and clears the pending batches.
   Batches take(TimePoint now);
-  /// Replicas that report here, as they last did, in messages of bounded size.
+  /// Latest full reports of all replicas that report to this member, in messages of bounded size.
   std::vector<wire::ReplicaReports> whole(const ReplicaRegistry& registry, TimePoint now);
 
  private:
--- a/src/services/router_directory.cc
+++ b/src/services/router_directory.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kForgottenAfter = std::chrono::seconds(10);
-/// Routers tell the leader what they can't reach more often than this.
+/// Routers report unreachable replicas to the leader more often than this.
 constexpr Duration kReachIsFresh = std::chrono::milliseconds(1000);
-/// Statuses that may be missed before a router is taken to be gone.
+/// Number of missed statuses after which a router counts as gone.
 constexpr int kMissedStatuses = 3;
 
 }  // namespace
--- a/src/services/router_directory.h
+++ b/src/services/router_directory.h
@@ -15,39 +15,43 @@
   TimePoint heard{};
 };
 
-/// The routers that report themselves; every member keeps its own, so that callers are told where to go
-/// without a leader. Used by one thread.
+/// Routers that report their status. Every member keeps its own directory, so that callers get router
+/// addresses also while there is no leader. Used by one thread.
 class RouterDirectory {
  public:
-  /// False for a status that is older than what is known.
+  /// Applies a status. Returns false for a stale status, which is ignored.
   bool accept(const wire::CallRouterStatus& status, TimePoint now);
+  /// Removes routers without contact for 10 s, or for three status intervals if that is longer.
   void expire(TimePoint now);
 
-  /// Routers heard of late; those that ended without a word are among them for a while.
+  /// Routers with recent contact; a crashed router stays listed until it expires.
   const std::map<NodeName, RouterRecord>& routers() const { return routers_; }
-  /// Where callers of a zone may connect, at most `limit` addresses: routers of their own zone, as many as
-  /// each zone has its part of the limit; with fewer than kFewestChoices of them, those of other zones too.
+  /// Returns at most `limit` router addresses for callers of a zone: routers of the same zone, up to the
+  /// limit divided by the number of zones; if the zone has fewer than kFewestChoices, also routers of other
+  /// zones.
   std::vector<std::string> addresses(const ZoneName& zone, TimePoint now, std::size_t limit) const;
-  /// Routers that share the retry budgets.
+  /// Number of routers that callers may be sent to, among which retry budgets are divided.
   std::size_t acceptingCount(TimePoint now) const;
 
-  /// Replicas that some router in touch can't connect to.
+  /// Replicas that at least one router with recent contact can't connect to.
   std::set<ReplicaId> unreachable(TimePoint now) const;
 
-  /// How often routers tell their status here; they are believed to be there for longer if it is seldom.
+  /// Sets the interval at which routers report their status to this member. All expiry times are at least
+  /// three intervals.
   void setStatusInterval(Duration interval) { status_interval_ = interval; }
-  /// The routers that callers may be sent to, for members that hear of them seldom.
+  /// The routers that callers may be sent to, for members that receive their statuses too rarely.
   std::vector<wire::RouterContact> contacts(TimePoint now) const;
-  /// What a leader told: those listed are there, those that it listed before aren't.
+  /// Applies a leader's list of contacts: listed routers are available, routers of the former list that are
+  /// missing here aren't.
   void takeContacts(const std::vector<wire::RouterContact>& contacts, TimePoint now);
-  /// The leader still tells the same.
+  /// Renews the contacts of the last list, which the leader confirmed as unchanged.
   void keepContacts(TimePoint now);
-  /// wire::contactsDigest() of what a leader told last.
+  /// wire::contactsDigest() of the leader's last list.
   std::uint64_t contactsDigest() const { return contacts_digest_; }
 
-  /// A router that is silent for longer isn't offered to callers.
+  /// A router without contact for longer than this isn't offered to callers.
   static constexpr Duration kOfferedFor = std::chrono::milliseconds(3000);
-  /// Callers need others to go to when a router is lost.
+  /// Minimum number of routers offered to a caller, so that it has alternatives when a router fails.
   static constexpr std::size_t kFewestChoices = 4;
 
  private:
@@ -56,7 +60,7 @@
 
   std::map<NodeName, RouterRecord> routers_;
   Duration status_interval_{};
-  std::set<NodeName> contacts_;  ///< that a leader told last
+  std::set<NodeName> contacts_;  ///< routers of the leader's last list
   std::uint64_t contacts_digest_ = 0;
 };
 
--- a/src/services/router_tables.cc
+++ b/src/services/router_tables.cc
@@ -7,9 +7,9 @@
 namespace ferryrock::services {
 namespace {
 
-/// A table that a router doesn't hold this long after it was sent was lost.
+/// A table that the router doesn't report to hold within this time after sending counts as lost.
 constexpr Duration kOnItsWay = std::chrono::milliseconds(400);
-/// Tables that may be on their way to a router; older ones are taken together.
+/// Maximum number of tables tracked per router; beyond it the two oldest are merged.
 constexpr std::size_t kMostSent = 8;
 
 std::uint64_t combined(std::uint64_t hash, std::uint64_t value) {
@@ -48,7 +48,7 @@
   }
   const bool holds_last = !state.sent.empty() && state.sent.back().table == status.table;
   state.lost = !holds_last && (status.missed_update || now - state.sent_at >= kOnItsWay);
-  // It may have told of the table before, ahead of the one without the replica.
+  // The last table may be older than the closing; only a table built after it counts as a confirmation.
   const bool confirmed = holds_last && state.sent.back().closings >= state.confirm_from;
   state.confirm = state.confirm && !confirmed;
   ++confirmations_;
@@ -153,7 +153,7 @@
   routers_.erase(router);
 }
 
-/// Forgets what the router holds and waits for.
+/// Resets the state of the router: its tables and the models that its calls wait for.
 void RouterTables::clear(RouterPointer router) {
   while (!router->second.sent.empty()) {
     dropOldest(router);
@@ -181,7 +181,8 @@
   if (state.sent.size() >= kMostSent) {
     Sent& oldest = state.sent.front();
     Sent& next = state.sent[1];
-    // Counted once for each table: those of the oldest are counted for the next one from here on.
+    // users_ counts a replica once per table; the entries of the oldest table are now counted for the next
+    // one.
     next.open.insert(next.open.end(), oldest.open.begin(), oldest.open.end());
     next.complete = next.complete && oldest.complete;
     next.closings = oldest.closings;
--- a/src/services/router_tables.h
+++ b/src/services/router_tables.h
@@ -18,64 +18,68 @@
 
 namespace ferryrock::services {
 
-/// One leader's tables for routers that subscribe: each lists the replicas that ReplicaChoice draws for its
-/// router, is known by a hash of its content, and is sent whole when that changes. So a new leader sends only
-/// what differs from what routers hold.
+/// One leader's replica tables for routers with subscriptions. Each table lists the replicas that
+/// ReplicaChoice selects for its router. It is identified by a hash of its content and sent in full when the
+/// hash changes, so that a new leader sends only tables that differ from those that the routers hold.
 ///
-/// Keeps which replicas a router may still use, by what it was sent and what it has told of it since: a
-/// replica is let go once each router in touch holds a table, sent after the replica was closed, that doesn't
-/// list it as open. A router that was never listed the replica has nothing to tell. What a router was told by
-/// an earlier leader, or while replicas were still reporting themselves to this one, isn't known; it lets go
-/// what it confirms a later table for. Used by one thread.
+/// Tracks which replicas a router may still use, from the tables sent to it and the statuses received since.
+/// A replica is released once each router in contact holds a table that was sent after the replica was closed
+/// and doesn't list it as open. A router whose tables never listed the replica needn't confirm anything.
+/// Tables from an earlier leader, or from the time when replicas were still registering with this leader, may
+/// list more replicas than are known here; a router releases those when it confirms a later table. Used by
+/// one thread.
 class RouterTables {
  public:
   explicit RouterTables(const ReplicaIndex& index) : index_(index), choice_(index) {}
 
-  /// Services whose replicas all routers need.
+  /// Sets the services without models, whose replicas every router needs.
   void setPlainServices(std::vector<ServiceName> services) { plain_services_ = std::move(services); }
-  /// The router may hold what an earlier leader told it.
+  /// Adds a router that may hold a table of an earlier leader.
   void expect(const NodeName& router);
-  /// A router told its status: what it holds, and what its calls wait for.
+  /// Applies a router's status: the table that it holds, and the models that its calls wait for.
   void accept(const wire::CallRouterStatus& status, TimePoint now);
-  /// Follows a step of the index: routers that wait for what has grown, or may use what has closed, are due.
+  /// Applies changes of the index. Routers become due whose calls wait for a model with new replicas, or that
+  /// may use a replica that was closed.
   void follow(const ReplicaIndex::Changes& changes);
-  /// Routers whose calls wait for a model are due.
+  /// Makes all routers due whose calls wait for a model.
   void tellWaiting();
-  /// The routers to be told at once, since this was last asked.
+  /// Returns and clears the routers that are due for an update at once.
   std::set<NodeName> takeDue() { return std::exchange(due_, {}); }
   bool hasDue() const { return !due_.empty(); }
-  /// Forgets the others, and a router that takes tables of all replicas.
+  /// Removes all routers that aren't listed.
   void keepRouters(const std::map<NodeName, RouterRecord>& routers);
+  /// Removes a router, for instance one that gets tables of all replicas instead.
   void forget(const NodeName& router);
 
-  /// Puts the router's table into the update, or only its hash if the router holds it or it is on its way.
-  /// The update tells whether replicas that aren't listed are gone.
+  /// Adds the router's table to the update, or only the table's hash if the router holds it or it is in
+  /// flight. update.complete must be set: it states whether replicas that the table doesn't list are gone.
   void fill(wire::ServiceUpdate& update, const wire::CallRouterStatus& status, TimePoint now);
 
-  /// Rises when replicas are closed.
+  /// Counts the steps of the index that closed replicas.
   std::uint64_t closings() const { return closings_; }
-  /// Rises when a router confirms a table.
+  /// Counts the confirmations of tables by routers.
   std::uint64_t confirmations() const { return confirmations_; }
-  /// One of the routers that count and may still use a replica which was closed when closings() was so high.
+  /// Returns a router for which `counts` is true and that may still use the replica, which was closed when
+  /// closings() had the value `closing`; nullopt: none.
   std::optional<NodeName> firstUser(const ReplicaId& replica, std::uint64_t closing,
                                     const std::function<bool(const NodeName&)>& counts) const;
 
  private:
-  /// A table that was sent, or that a router was found to hold.
+  /// A table that was sent to a router, or that the router reported to hold.
   struct Sent {
     std::uint64_t table = 0;
-    std::uint64_t closings = 0;  ///< when it was made
-    bool complete = false;       ///< what it doesn't list isn't used
+    std::uint64_t closings = 0;  ///< RouterTables::closings() when the table was built
+    bool complete = false;       ///< the router uses no replicas but the listed ones
     std::vector<ReplicaId> open;
   };
   struct Router {
     std::uint64_t incarnation = 0;
-    bool known = false;              ///< it holds one of `sent`
-    std::deque<Sent> sent;           ///< the one that it holds, if known, and those after it
-    TimePoint sent_at{};             ///< the last of them
-    bool lost = false;               ///< the last of them didn't arrive
-    bool confirm = false;            ///< a replica was closed that it may use
-    std::uint64_t confirm_from = 0;  ///< Sent::closings of a table by which it lets it go
+    bool known = false;              ///< the router holds a table of `sent`
+    std::deque<Sent> sent;           ///< the table that the router holds, if known, and later ones
+    TimePoint sent_at{};             ///< when the last table was sent
+    bool lost = false;               ///< the last table counts as lost
+    bool confirm = false;            ///< the router may use a replica that was closed
+    std::uint64_t confirm_from = 0;  ///< minimum Sent::closings of a table that releases that replica
     std::set<ModelKey> waits_for;
   };
   using RouterPointer = std::map<NodeName, Router>::iterator;
@@ -84,7 +88,7 @@
   void dropOldest(RouterPointer router);
   void noteWaits(RouterPointer router, const wire::CallRouterStatus& status);
   void noteTable(RouterPointer router, Sent sent);
-  /// Nothing is known of what it may use, or not all.
+  /// Updates whether the router is unsettled: it may use replicas that its tables here don't list.
   void judge(RouterPointer router);
   void list(wire::ServiceUpdate& update, const std::vector<const IndexedReplica*>& chosen) const;
   std::uint64_t hashOf(const std::vector<const IndexedReplica*>& chosen, bool complete) const;
@@ -93,13 +97,13 @@
   ReplicaChoice choice_;
   std::vector<ServiceName> plain_services_;
   std::map<NodeName, Router> routers_;
-  std::map<ReplicaId, std::map<NodeName, std::size_t>> users_;  ///< with the count of their tables
-  std::set<NodeName> unsettled_;                                ///< may use more than their tables list
+  std::map<ReplicaId, std::map<NodeName, std::size_t>> users_;  ///< routers with their count of tables
+  std::set<NodeName> unsettled_;                                ///< routers that may use unlisted replicas
   std::map<ModelKey, std::set<NodeName>> waiting_;
   std::set<NodeName> due_;
   std::uint64_t closings_ = 0;
   std::uint64_t confirmations_ = 0;
-  std::set<ReplicaId> closed_;  ///< since the term began, while tables aren't complete
+  std::set<ReplicaId> closed_;  ///< closed while a router was unsettled; listed in incomplete tables
 };
 
 }  // namespace ferryrock::services
