--- a/src/services/service_control.cc
+++ b/src/services/service_control.cc
@@ -12,9 +12,11 @@
 constexpr Duration kMemberHelloInterval = std::chrono::milliseconds(500);
 constexpr Duration kNewcomerHelloInterval = std::chrono::milliseconds(200);
 constexpr Duration kExpiryInterval = std::chrono::milliseconds(500);
-/// A leader whose own writes take longer lets another member lead.
+/// A leader with a disk write that takes longer than this transfers its leadership.
 constexpr Duration kSlowWrite = std::chrono::seconds(1);
-/// Members that don't lead forget replicas this late, since only the leader's word removes them.
+/// Silence after which members that don't lead, and a leader whose registry isn't complete yet, remove a
+/// replica. It is long because such a member receives only some of the heartbeats; the leader decides that a
+/// replica is gone.
 constexpr Duration kFollowerSilence = std::chrono::seconds(60);
 
 CellKeeperSettings keeperSettings(const ServiceControlSettings& settings) {
@@ -23,8 +25,9 @@
   return keeper;
 }
 
-/// Reads and notices are confirmed by rounds and orders wait for a lease of their own, so that a cell whose
-/// power was cut needs no longer without a leader than an election takes.
+/// A member may start an election right after its start: quorum rounds confirm reads and notices, and orders
+/// wait for a separate lease. After a power loss the cell is therefore without a leader no longer than an
+/// election takes.
 control::ControlSettings nodeSettings(control::ControlSettings control) {
   control.log.elect_at_start = true;
   return control;
@@ -118,7 +121,7 @@
   offerCatalog(status, now);
 }
 
-/// Without a lease another member may lead already and account for the same credit.
+/// Ignored without a lease: another member may lead already and grant the same credit.
 void ServiceControlImpl::onMessage(const NodeName& from, const wire::QuotaUse& use, TimePoint now) {
   if (use.router != from || !leader_ || !node_->log().hasLease(now)) {
     return;
@@ -130,7 +133,7 @@
   }
 }
 
-/// Without a lease another member may lead already and account for the same limits.
+/// Ignored without a lease: another member may lead already and grant credit of the same limits.
 void ServiceControlImpl::onMessage(const NodeName& from, const wire::LimitRequest& request, TimePoint now) {
   if (request.router != from || !leader_ || !node_->log().hasLease(now)) {
     return;
@@ -193,7 +196,7 @@
     if (effect.confirmed) {
       holdAcknowledgement(held->question, now);
     } else {
-      answer(held->question, ResultCode::NoQuorum, "leadership was lost before the answer was sure");
+      answer(held->question, ResultCode::NoQuorum, "leadership was lost before a quorum confirmed the state");
     }
   } else {
     const auto of_read = [&effect](const LeaveNotice& notice) {
@@ -349,7 +352,8 @@
   return finish(now);
 }
 
-/// A leader whose own disk is full, hangs or is slow serves nobody well; another member with this log can.
+/// A leader whose disk is full, hangs or is slow can't commit in time, while another member with the same log
+/// can.
 void ServiceControlImpl::handOverIfDiskIsSlow(TimePoint now) {
   const bool slow = !open_writes_.empty() && now - open_writes_.front().since > kSlowWrite;
   if (slow && now >= next_hand_over_) {
@@ -374,12 +378,12 @@
     placer.holder = self_;
     placer.fence = term;
     placer.switches = settings_.placement;
-    // An earlier leader's lease may end that much after this one's election, see elect_at_start.
+    // An earlier leader's lease may end up to election_timeout_min after this election, see elect_at_start.
     placer.first_order = now + settings_.order_lease + settings_.control.log.election_timeout_min;
     leader_.emplace(term, placer, registry_, index_, settings_.quota_tolerance, settings_.router_out_of_touch,
                     now);
     registry_.clearLimits();
-    leader_->push_to_all = isLargeFleet();  // routers hear at once who leads
+    leader_->push_to_all = isLargeFleet();  // announces the new leader to the routers at once
     keeper_.onLeadership(now);
   }
 }
@@ -390,7 +394,7 @@
     answerNotice(notice, false);
   }
   for (const HeldAcknowledgement& held : std::exchange(held_acknowledgements_, {})) {
-    answer(held.question, ResultCode::NoQuorum, "leadership was lost before the change was safe");
+    answer(held.question, ResultCode::NoQuorum, "leadership was lost before enough disks held the change");
   }
   leaving_proposed_.clear();
   quarantines_proposed_.clear();
--- a/src/services/service_control.h
+++ b/src/services/service_control.h
@@ -16,40 +16,41 @@
 #include "services/router_directory.h"
 #include "tenancy/quota_ledger.h"
 
-/// One control member of hosted services as logic without input or output.
+/// A control member of hosted services as pure logic without I/O.
 namespace ferryrock::services {
 
 struct ServiceControlSettings {
   control::ControlSettings control;  ///< control.log.node is the member's internal address
-  std::string http;                  ///< where operators and replicas reach this member, "host:port"
-  std::vector<NodeName> seeds;       ///< members to ask first
-  std::vector<ZoneName> zones;       ///< that may be evacuated; empty: those of known replicas
-  /// Members whose disks may be lost at once while nothing that was acknowledged is lost.
+  std::string http;                  ///< HTTP address of this member for operators and replicas, "host:port"
+  std::vector<NodeName> seeds;       ///< nodes to contact before any member is known
+  std::vector<ZoneName> zones;       ///< zones that may be evacuated; empty: the zones of known replicas
+  /// Number of members whose disks may be lost at once without loss of acknowledged changes.
   std::uint32_t losses_borne = 1;
   Duration replica_heartbeat = std::chrono::milliseconds(1000);
-  /// A router that is silent for longer is out of touch: notices don't wait for it.
+  /// A router without contact for longer than this is out of contact: leave notices don't wait for it.
   Duration router_out_of_touch = std::chrono::milliseconds(3000);
-  /// A new leader orders nothing before an earlier one's orders can have left.
+  /// A new leader sends no orders to replicas until this time has passed, as an earlier leader may still send
+  /// some.
   Duration order_lease = std::chrono::milliseconds(3000);
   PlacementSwitches placement;
-  /// Routers are told the load of replicas over all routers.
+  /// Publish the load of replicas over all routers to the routers.
   bool tells_loads = false;
   tenancy::QuotaTolerance quota_tolerance;
-  /// Replicas that don't report for longer are forgotten.
+  /// A replica without a report for longer than this is removed.
   Duration replica_silence = std::chrono::seconds(6);
 };
 
-/// Number of a question that a shell put; it comes back in the answer.
+/// Number of a request from the shell, which the response repeats.
 using QuestionNumber = Number<struct QuestionNumberTag>;
 
-/// Effect: the answer to a question; exactly one each.
+/// Effect: the response to a request; each request gets exactly one.
 struct AnswerEffect {
   QuestionNumber question;
   ResultCode code = ResultCode::Ok;
   std::string detail;
-  std::string body;    ///< of a read: the catalog in the operator's bytes
-  std::string leader;  ///< http address of the leader, empty: unknown
-  /// To a replica's report: http address of the member that its next ones are to go to; empty: as before.
+  std::string body;    ///< for readCatalog(): the catalog exactly as the operator submitted it
+  std::string leader;  ///< HTTP address of the leader; empty: unknown
+  /// For replica reports: HTTP address of the member that gets the next reports; empty: unchanged.
   std::string report_next;
 };
 
@@ -57,37 +58,38 @@
                             InspectReplicaEffect, ModelUnplacedEffect, AnswerEffect, CatalogSpreadEffect>;
 using Effects = std::vector<Effect>;
 
-/// What a member shows of itself.
+/// State of a member for metrics and status pages.
 struct ServiceControlView {
   bool leads = false;
   NodeName leader;
   Term term;
   std::size_t voters = 0;
   CatalogVersion catalog;
-  tenancy::QuotaCounts quota;         ///< of this member's leadership
-  std::size_t limited_tenants = 0;    ///< credit is asked for before their calls run
-  LimitCounts limits;                 ///< of this member's leadership
-  std::size_t limited_replicas = 0;   ///< that take so many calls a second from all routers together
-  std::size_t evacuated_zones = 0;    ///< whose replicas get no new calls
-  std::size_t quarantined_calls = 0;  ///< kept away from replicas, since several ended under them
-  std::size_t suspected_calls = 0;    ///< replicas ended under them, too few for a quarantine
+  tenancy::QuotaCounts quota;         ///< since this member became leader
+  std::size_t limited_tenants = 0;    ///< tenants whose calls need credit before they run
+  LimitCounts limits;                 ///< since this member became leader
+  std::size_t limited_replicas = 0;   ///< replicas with a call rate limit over all routers together
+  std::size_t evacuated_zones = 0;    ///< zones whose replicas get no new calls
+  std::size_t quarantined_calls = 0;  ///< calls that aren't sent to replicas, since several crashed on them
+  std::size_t suspected_calls = 0;    ///< calls on which replicas crashed, too few for a quarantine
 };
 
-/// Replicas and routers that a member knows.
+/// Number of replicas and routers that a member knows.
 struct FleetView {
   std::size_t replicas = 0;
-  std::size_t routers = 0;  ///< that callers are sent to
+  std::size_t routers = 0;  ///< routers that callers may be sent to
   friend bool operator==(const FleetView&, const FleetView&) = default;
 };
 
-/// A call under which replicas ended.
+/// A call on which replicas crashed.
 struct SuspectedCall {
   wire::CrashRecord record;
   bool quarantined = false;
 };
 
-/// Routers have a committed catalog from the leader at once, and from any other member that they reach within
-/// 1.5 s: a lost connection to the leader delays it by no more than that. Used by one thread.
+/// A control member. Routers receive a committed catalog from the leader at once, and within 1.5 s from any
+/// other member that they have contact with, so a lost connection to the leader delays it no longer. Used by
+/// one thread.
 class ServiceControl {
  public:
   virtual ~ServiceControl() = default;
@@ -97,41 +99,44 @@
   virtual TimePoint nextDeadline() const = 0;
   virtual Effects onPersisted(std::uint64_t sequence, TimePoint now) = 0;
 
-  /// Answered with Ok once the catalog, or a higher version, is committed on enough disks; with
-  /// InvalidCatalog at once; NotLeader names the leader; NoQuorum leaves the outcome open.
+  /// Replaces the catalog. The response is Ok once the catalog, or a higher version, is committed on enough
+  /// disks; InvalidCatalog at once; NotLeader with the leader's address; or NoQuorum, which leaves the
+  /// outcome unknown.
   virtual Effects replaceCatalog(QuestionNumber question, wire::ServiceCatalog catalog, std::string source,
                                  TimePoint now) = 0;
-  /// Answered from a state that a quorum confirmed after the question; else NotLeader, NoQuorum or NoCatalog.
+  /// Linearizable read of the catalog, from a state that a quorum confirmed after the request. Otherwise the
+  /// response is NotLeader, NoQuorum or NoCatalog.
   virtual Effects readCatalog(QuestionNumber question, TimePoint now) = 0;
-  /// Takes the zone's replicas out of use, or gives them back. Answered as replaceCatalog(), and with
-  /// UnknownZone. Routers in touch send no new calls there soon after; calls under way go on.
+  /// Takes the zone's replicas out of use, or returns them to use. Responses as for replaceCatalog(), and
+  /// UnknownZone. Routers in contact stop sending new calls there soon after; calls in flight continue.
   virtual Effects evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated,
                                TimePoint now) = 0;
-  /// As far as this member knows.
+  /// Evacuated zones according to this member's replicated state, which may lag behind the leader's.
   virtual std::vector<ZoneName> evacuatedZones() const = 0;
-  /// A heartbeat is answered at once. A notice of leaving is answered with Ok once it binds every router in
-  /// touch, with NotBoundEverywhere if that takes too long.
+  /// Applies a replica's report. A heartbeat gets its response at once. A leave notice gets Ok once it binds
+  /// every router in contact, or NotBoundEverywhere at its deadline.
   virtual Effects onReport(QuestionNumber question, const wire::ReplicaReport& report, TimePoint now) = 0;
 
   virtual Effects onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) = 0;
   virtual Effects onInspected(OrderNumber number, const std::optional<ReplicaState>& state,
                               TimePoint now) = 0;
-  /// The calls under which two replicas or more ended.
+  /// Calls on which two or more replicas crashed.
   virtual std::vector<SuspectedCall> suspectedCalls(TimePoint now) const = 0;
-  /// An operator lets the call run again: the ends so far count no more, here at once and elsewhere soon.
+  /// Releases a call from quarantine on an operator's request: the crashes so far no longer count, at this
+  /// member at once and at the other nodes soon after.
   virtual Effects releaseCall(const wire::CallFingerprint& call, TimePoint now) = 0;
-  /// Fresh addresses to ask, beside those that are known already.
+  /// Adds nodes to contact to those that are known already.
   virtual void addSeeds(const std::vector<NodeName>& seeds) = 0;
-  /// Planned stop: another member takes over.
+  /// Begins a planned stop: a leader transfers its leadership to another member.
   virtual Effects beginStop(TimePoint now) = 0;
 
-  /// Where callers of a zone may connect.
+  /// Router addresses for callers of a zone, at most `limit`.
   virtual std::vector<std::string> routerAddresses(const ZoneName& zone, std::size_t limit,
                                                    TimePoint now) const = 0;
-  /// Nodes to keep connections to.
+  /// Nodes that this member keeps connections to.
   virtual std::vector<NodeName> peers() const = 0;
   virtual ServiceControlView view(TimePoint now) const = 0;
-  /// Counts the routers, unlike view().
+  /// Separate from view(), since it scans the routers.
   virtual FleetView fleet(TimePoint now) const = 0;
 };
 
--- a/src/services/service_control_catalog.cc
+++ b/src/services/service_control_catalog.cc
@@ -8,10 +8,10 @@
 namespace ferryrock::services {
 namespace {
 
-/// How long an acknowledgement waits for the cell to be mended.
+/// Time limit for a committed change to reach enough disks, which may require a membership change first.
 constexpr Duration kAcknowledgementLimit = std::chrono::milliseconds(3500);
-/// The leader tells each router that it reaches of a version within a round of updates, 75 ms for 300
-/// routers. One that is behind for longer may have lost its connection to the leader.
+/// The leader sends a new version to every reachable router within a round of updates, which takes 75 ms for
+/// 300 routers. A router that is behind for longer than this may have lost its connection to the leader.
 constexpr Duration kLeaderTellsWithin = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -46,9 +46,10 @@
   held_acknowledgements_.push_back({question, now + kAcknowledgementLimit});
 }
 
-/// What is committed stands on a majority of the voters. That is enough once a majority is more than the
-/// members that may be lost at once, and no change of the voters is open: the entry of the last change was
-/// committed after what is to be acknowledged or before its leader's term, so a majority holds both.
+/// Returns true if the disks that hold a committed entry outnumber the disk losses to be tolerated. A
+/// committed entry is on a majority of the voters, so the majority must be larger than the number of
+/// tolerated losses, and no membership change may be pending: the entry of the last change was committed
+/// either after the entry to be acknowledged or before this leader's term, so a majority holds both.
 bool ServiceControlImpl::onEnoughDisks() const {
   const std::size_t majority = consensus::commitQuorum(node_->log().membership());
   return leader_ && !leader_->membership_change_open && majority > settings_.losses_borne;
@@ -60,14 +61,16 @@
     if (enough) {
       answer(held.question, ResultCode::Ok);
     } else if (now >= held.deadline) {
-      answer(held.question, ResultCode::NoQuorum, "the cell has too few voters to keep the change safe");
+      answer(held.question, ResultCode::NoQuorum,
+             "the cell has too few voters to tolerate " + std::to_string(settings_.losses_borne) +
+                 " disk losses, or a membership change is pending");
     }
     return enough || now >= held.deadline;
   });
 }
 
-/// A router that waits for its first catalog gets it from the leader, with the replicas that it needs as
-/// well.
+/// Sends the catalog to a router that the leader apparently can't reach. A router without any catalog gets
+/// its first one from the leader, together with the replicas that it needs.
 void ServiceControlImpl::offerCatalog(const wire::CallRouterStatus& status, TimePoint now) {
   const bool behind = status.catalog != CatalogVersion{} && status.catalog < held_version_;
   if (behind && now - held_since_ >= kLeaderTellsWithin) {
@@ -89,7 +92,7 @@
   if (!confirmed) {
     answer(question, ResultCode::NoQuorum, "leadership was lost before the read was confirmed");
   } else if (node_->hosted().catalog().version == CatalogVersion{}) {
-    answer(question, ResultCode::NoCatalog, "no catalog was accepted yet");
+    answer(question, ResultCode::NoCatalog, "no catalog has been committed yet");
   } else {
     answer(question, ResultCode::Ok, {}, node_->hosted().source());
   }
--- a/src/services/service_control_crashes.cc
+++ b/src/services/service_control_crashes.cc
@@ -2,13 +2,15 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl that spreads what routers found out about calls that end replicas. Every
-/// member holds it, so that a new leader has it, and routers that hold more than a member tell it. Suspicions
-/// are soft state; quarantines go into the log as well, since each has cost three replicas.
+/// The part of ServiceControlImpl that propagates the crash records of calls between routers. Every member
+/// holds the records, so that a new leader has them, and a router sends a member the records that the member
+/// lacks. Suspicions are soft state; quarantines are also stored in the log, since each has cost three
+/// replica crashes.
 namespace ferryrock::services {
 namespace {
 
-/// Routers that are silent for longer get what they lack with their next status.
+/// Routers without contact for longer than this aren't notified; they receive missing records after their
+/// next status.
 constexpr Duration kReachedFor = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -27,7 +29,8 @@
   tellRouters(news, now);
 }
 
-/// The leader tells at once; while none is heard, every member does.
+/// Sends records to all routers with recent contact. The leader does this; without a known leader, every
+/// member does.
 void ServiceControlImpl::tellRouters(const std::vector<wire::CrashRecord>& news, TimePoint now) {
   const bool tells = leader_.has_value() || node_->log().leader().empty();
   if (news.empty() || !tells) {
--- a/src/services/service_control_impl.h
+++ b/src/services/service_control_impl.h
@@ -28,11 +28,12 @@
 
 namespace ferryrock::services {
 
-/// ServiceControl around one ControlNode. Its parts: service_control.cc (entry points, messages, timers),
-/// service_control_catalog.cc (replacing and reading the catalog), service_control_zones.cc (evacuations),
-/// service_control_replicas.cc (reports and notices), service_control_crashes.cc (calls that end replicas),
-/// service_control_subscriptions.cc (what keeps a large fleet's work bounded), service_control_updates.cc
-/// (what routers are told), service_control_leader.cc (orders, membership).
+/// ServiceControl on top of a ControlNode. The implementation is split by topic: service_control.cc (entry
+/// points, messages, timers), service_control_catalog.cc (replacing and reading the catalog),
+/// service_control_zones.cc (evacuations), service_control_replicas.cc (reports and leave notices),
+/// service_control_crashes.cc (calls that crash replicas), service_control_subscriptions.cc (subscriptions
+/// and rate control in large fleets), service_control_updates.cc (updates for routers),
+/// service_control_leader.cc (orders, membership).
 class ServiceControlImpl : public ServiceControl {
  public:
   ServiceControlImpl(const ServiceControlSettings& settings, consensus::RecoveredState recovered,
@@ -61,7 +62,7 @@
   FleetView fleet(TimePoint now) const override;
 
  private:
-  // What proposals and quorum reads were made for.
+  // Purposes of proposals and quorum reads.
   struct CatalogProposal {
     QuestionNumber question;
   };
@@ -80,29 +81,30 @@
   struct CatalogRead {
     QuestionNumber question;
   };
-  /// What was asked for holds already: a catalog at least as new, or a zone's state.
+  /// The requested state is in force already: a catalog at least as new, or the zone's state.
   struct StateHeld {
     QuestionNumber question;
   };
   struct NoticeRead {};
   using ReadPurpose = std::variant<CatalogRead, StateHeld, NoticeRead>;
 
-  /// A catalog or an evacuation that is committed, but not yet on enough disks.
+  /// A pending response to a catalog replacement or an evacuation that is committed, but not yet on enough
+  /// disks.
   struct HeldAcknowledgement {
     QuestionNumber question;
     TimePoint deadline{};
   };
-  /// A notice that the leader was asked to make binding.
+  /// A leave notice that was forwarded to the leader.
   struct ForwardedNotice {
     QuestionNumber question;
     TimePoint deadline{};
   };
-  /// A write that isn't known to be synced.
+  /// A write that hasn't been confirmed as synced.
   struct OpenWrite {
     std::uint64_t sequence = 0;
     TimePoint since{};
   };
-  /// One leader's term.
+  /// State of this member's leadership, for one term.
   struct LeaderState {
     LeaderState(Term own_term, const ModelPlacerSettings& placer_settings, ReplicaRegistry& registry,
                 const ReplicaIndex& index, const tenancy::QuotaTolerance& quota_tolerance,
@@ -115,9 +117,9 @@
           quotas(quota_tolerance, now),
           since(now) {}
     Term term;
-    TableFeed feed;                  ///< for routers that are told of all replicas
-    RouterTables tables;             ///< for those that subscribe
-    bool has_subscriptions = false;  ///< the fleet is too large to tell each router of all replicas
+    TableFeed feed;                  ///< for routers that get tables of all replicas
+    RouterTables tables;             ///< for routers with subscriptions
+    bool has_subscriptions = false;  ///< the fleet is too large to send each router all replicas
     ModelDemand demand;
     balance::LoadTally loads;
     ModelPlacer placer;
@@ -127,21 +129,21 @@
     ProofRequests proof_requests;
     tenancy::QuotaLedger quotas;
     LimitLedger limits;
-    CatalogVersion quota_version;              ///< whose limits hold
-    std::map<ZoneName, FeedContext> contexts;  ///< by the zone of the routers that are told
-    TimePoint contexts_taken{};
-    TimePoint since;
-    bool complete = false;  ///< every living replica has had the time to report
-    std::uint64_t pushed_changes = 0;
-    std::uint64_t pushed_loads = 0;  ///< the placer's loadsBegun()
-    CatalogVersion pushed_version;
+    CatalogVersion quota_version;              ///< version of the catalog whose limits `quotas` applies
+    std::map<ZoneName, FeedContext> contexts;  ///< cached, by the zone of the routers
+    TimePoint contexts_taken{};                ///< when the cache was last cleared
+    TimePoint since;                           ///< start of this leadership
+    bool complete = false;                     ///< every replica that is alive has had time to report
+    std::uint64_t pushed_changes = 0;          ///< ReplicaRegistry::changes() of the last push
+    std::uint64_t pushed_loads = 0;            ///< the placer's loadsBegun() of the last push
+    CatalogVersion pushed_version;             ///< catalog version of the last push
     TimePoint next_push{};
-    bool push_to_all = false;  ///< what is new can't wait for the routers' next statuses
-    UpdateQueue awaited;       ///< routers on which calls or notices wait
-    UpdateQueue unanswered;    ///< others that are owed an update
-    TimePoint next_settle{};   ///< of notices
+    bool push_to_all = false;  ///< pending changes can't wait for the next status of each router
+    UpdateQueue awaited;       ///< routers with updates that calls or leave notices wait for
+    UpdateQueue unanswered;    ///< other routers that need an update
+    TimePoint next_settle{};   ///< next check of leave notices
     TimePoint next_plan{};
-    TimePoint planned{};
+    TimePoint planned{};  ///< time of the last plan
     bool membership_change_open = false;
     TimePoint next_membership_change{};
   };
@@ -165,8 +167,9 @@
   void takeOne(consensus::PersistEffect& effect, TimePoint now);
   void takeOne(const control::ProposalDoneEffect& effect, TimePoint now);
   void takeOne(const control::ReadDoneEffect& effect, TimePoint now);
+  /// Ignores effects on the engines of the settings tree, which hosted services don't use.
   template <class EngineEffect>
-  void takeOne(const EngineEffect&, TimePoint) {}  // the settings tree's engines aren't used here
+  void takeOne(const EngineEffect&, TimePoint) {}
   void send(const NodeName& to, wire::Message message);
   void sayHello(TimePoint now);
   bool isMember() const;
@@ -190,7 +193,8 @@
 
   // service_control_zones.cc
   bool isKnownZone(const ZoneName& zone) const;
-  /// Every member keeps replicas of evacuated zones from routers and from the placer, should it lead.
+  /// Applies the evacuated zones of the replicated state to the registry. Every member does this, so that a
+  /// new leader excludes replicas of evacuated zones from router tables and from placement at once.
   void followEvacuations();
 
   // service_control_replicas.cc
@@ -211,21 +215,22 @@
   void giveUpForwarded(TimePoint now);
 
   // service_control_crashes.cc
-  /// A router that shares other crash records than this member is told all of them.
+  /// Sends all shared crash records to a router whose digest of them differs from this member's.
   void compareCrashes(const wire::CallRouterStatus& status, TimePoint now);
   void tellRouters(const std::vector<wire::CrashRecord>& news, TimePoint now);
-  /// Takes what the log holds of quarantined calls.
+  /// Merges the quarantined calls of the replicated state into the crash ledger.
   void followQuarantines(TimePoint now);
-  /// Has the log follow the ledger: only what it holds outlives a loss of all members.
+  /// Proposes log entries for quarantines and releases in the crash ledger, since only the log survives a
+  /// crash of all members.
   void storeQuarantines(TimePoint now);
 
   // service_control_subscriptions.cc
   bool isLargeFleet() const;
   bool hasManyReplicas() const;
-  /// How often routers are to tell their status to the leader, and to another member.
+  /// Interval at which routers report their status to the leader, and to each other member.
   Duration leaderStatusInterval() const;
   Duration memberStatusInterval() const;
-  /// A router that is silent for longer isn't sent anything.
+  /// A router without contact for longer than this gets no updates.
   Duration reachedFor() const;
   bool subscribes(const wire::CallRouterStatus& status) const;
   void beginSubscriptions();
@@ -238,9 +243,9 @@
   // service_control_updates.cc
   void updateRouter(const wire::CallRouterStatus& status, TimePoint now);
   bool owedUpdate(const wire::CallRouterStatus& status, TimePoint now);
-  /// Returns how many replicas it lists.
+  /// Returns the number of replicas that the update lists.
   std::size_t sendUpdate(const wire::CallRouterStatus& status, TimePoint now);
-  /// The loads of all replicas, if the router is due to be told them.
+  /// Returns the loads of all replicas if the router is due for them.
   std::optional<std::vector<wire::ReplicaLoad>> loadsFor(const NodeName& router, TimePoint now);
   std::vector<wire::ComingModel> comingFor(const wire::CallRouterStatus& status, TimePoint now);
   bool awaitsConfirmation(const wire::CallRouterStatus& status) const;
@@ -276,20 +281,20 @@
   std::map<std::uint64_t, ReadPurpose> reads_;
   std::set<ReplicaId> leaving_proposed_;
   std::vector<HeldAcknowledgement> held_acknowledgements_;
-  CatalogVersion held_version_;  ///< of the newest catalog that is known to be committed
-  TimePoint held_since_{};
+  CatalogVersion held_version_;  ///< newest catalog version that is known to be committed
+  TimePoint held_since_{};       ///< when this member learned of it
   std::map<std::uint64_t, ForwardedNotice> forwarded_;
   quarantine::CrashLedger crashes_;
-  std::uint64_t followed_quarantines_ = 0;  ///< HostedServices::quarantineChanges() that are in the ledger
-  std::uint64_t stored_changes_ = 0;        ///< CrashLedger::changes() that were looked at
+  std::uint64_t followed_quarantines_ = 0;  ///< HostedServices::quarantineChanges() merged into the ledger
+  std::uint64_t stored_changes_ = 0;        ///< CrashLedger::changes() processed by storeQuarantines()
   std::set<wire::CallFingerprint> quarantines_proposed_;
   ReplicaIndex index_;
   ReportRelay relay_;
-  NodeName told_leader_;  ///< the replicas that report here
-  Term told_term_;
+  NodeName told_leader_;  ///< last leader that tellNewLeader() ran for
+  Term told_term_;        ///< term of that leader
   TimePoint next_hello_;
   TimePoint next_expiry_;
-  TimePoint began_;                    ///< of this process
+  TimePoint began_;                    ///< start of this process
   std::deque<OpenWrite> open_writes_;  ///< oldest first
   TimePoint next_hand_over_{};
   std::uint64_t next_id_ = 1;
--- a/src/services/service_control_leader.cc
+++ b/src/services/service_control_leader.cc
@@ -7,14 +7,15 @@
 namespace {
 
 constexpr Duration kPlanInterval = std::chrono::milliseconds(100);
-/// For calls that wait at a large fleet.
+/// Minimum time between plans of a large fleet that are expedited for waiting calls.
 constexpr Duration kHurriedPlanInterval = std::chrono::milliseconds(20);
-/// A plan passes over all replicas; so many of them are passed in a second at most.
+/// Each plan scans all replicas; plans are spaced so that no more than this many replicas are scanned per
+/// second.
 constexpr double kReplicasPlannedPerSecond = 100'000;
 constexpr Duration kMembershipPause = std::chrono::milliseconds(100);
-/// Of the directory that routers get.
+/// Maximum number of addresses in the directory that routers receive.
 constexpr std::size_t kMostAddresses = 64;
-/// Members and the directory, as updates tell them, are gathered anew after this time.
+/// Time to live of the cached FeedContext with the members and the directory.
 constexpr Duration kContextLasts = std::chrono::milliseconds(50);
 
 std::vector<ServiceName> plainServices(const wire::ServiceCatalog& catalog) {
@@ -53,7 +54,8 @@
   }
 }
 
-/// Routers whose proof is missing or about to end don't wait for their next regular update.
+/// Queues updates for routers whose catalog proof is missing or about to expire, ahead of their next regular
+/// update.
 void ServiceControlImpl::proveCatalogs(TimePoint now) {
   if (leader_->proof_requests.empty() || !node_->log().hasLease(now)) {
     return;
@@ -67,7 +69,8 @@
   }
 }
 
-/// A tenant that is limited, or isn't any more, can't wait for the routers' next statuses.
+/// Updates the quotas from the catalog. A change of the set of limited tenants is pushed to all routers at
+/// once.
 void ServiceControlImpl::followQuotas(TimePoint now) {
   const wire::ServiceCatalog& catalog = node_->hosted().catalog();
   if (catalog.version != leader_->quota_version) {
@@ -88,7 +91,7 @@
   return nodes;
 }
 
-/// Of many statuses and pushes in one moment each would gather the same.
+/// Returns the cached context of a zone: many statuses and pushes in a short time need the same one.
 const FeedContext& ServiceControlImpl::feedContext(const ZoneName& zone, TimePoint now) {
   if (now - leader_->contexts_taken >= kContextLasts) {
     leader_->contexts.clear();
@@ -111,7 +114,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/// Plans soon, but not for each of many calls that wait.
+/// Expedites the next plan. In a large fleet the time between plans stays bounded however many calls wait.
 void ServiceControlImpl::hurryPlan(TimePoint now) {
   const Duration hurried = std::max(kHurriedPlanInterval, leastPlanInterval());
   const TimePoint soon = !isLargeFleet() ? now : std::max(now, leader_->planned + hurried);
--- a/src/services/service_control_replicas.cc
+++ b/src/services/service_control_replicas.cc
@@ -7,12 +7,12 @@
 namespace ferryrock::services {
 namespace {
 
-/// A replica waits about a second for its answer; then it asks elsewhere.
+/// A replica waits about a second for a response before it tries another member; both limits are below that.
 constexpr Duration kNoticeLimit = std::chrono::milliseconds(850);
 constexpr Duration kForwardLimit = std::chrono::milliseconds(900);
-/// A new leader has heard of every router in touch after this time.
+/// A new leader has received a status of every router in contact within this time.
 constexpr Duration kRoutersReport = std::chrono::milliseconds(1500);
-/// Between two looks at open notices of a large fleet.
+/// Minimum time between two checks of pending leave notices in a large fleet.
 constexpr Duration kSettleInterval = std::chrono::milliseconds(10);
 
 }  // namespace
@@ -28,8 +28,8 @@
     }
   }
   if (!hearsLeader()) {
-    // Learned all the same: whoever leads next has the replica in its first tables.
-    answer(question, ResultCode::NoQuorum, "this member hears no leader");
+    // The report was applied above nevertheless, so that the next leader's first tables contain the replica.
+    answer(question, ResultCode::NoQuorum, "this member has no contact with a leader");
   } else if (!report.leaving) {
     effects_.emplace_back(
         AnswerEffect{question, ResultCode::Ok, {}, {}, leaderHttp(), nextReportAddress(report.id, now)});
@@ -46,9 +46,9 @@
   return finish(now);
 }
 
-/// The leader hears of a few replicas at first hand, which is soonest. Each costs it a connection and an
-/// answer in a heartbeat, so that many of them are shared among the other members, which tell it what they
-/// hear in batches.
+/// Few replicas report to the leader directly, which has the least delay. Each of them costs the leader a
+/// connection and a response per heartbeat, so many replicas are distributed among the other members, which
+/// relay the reports to the leader in batches.
 std::string ServiceControlImpl::nextReportAddress(const ReplicaId& replica, TimePoint now) const {
   if (!hasManyReplicas()) {
     return leaderHttp();
@@ -63,7 +63,7 @@
   return members[stableHash(replica.value) % members.size()];
 }
 
-/// A bare notice names its replica without the start of its life.
+/// A bare leave notice identifies its replica by name, without the start time of its incarnation.
 wire::ReplicaReport ServiceControlImpl::withCurrentLife(const wire::ReplicaReport& told) const {
   wire::ReplicaReport report = told;
   if (report.address.empty()) {
@@ -72,7 +72,7 @@
   return report;
 }
 
-/// Without a catalog no service is known to be missing in it.
+/// Returns true for every service if there is no catalog yet.
 bool ServiceControlImpl::isConfigured(const ServiceName& service) const {
   const std::vector<wire::HostedService>& services = node_->hosted().catalog().services;
   return services.empty() ||
@@ -106,7 +106,8 @@
   }
 }
 
-/// A leader of many replicas hears of their lives alone; the one before may have forgotten none of them.
+/// Sends a new leader the full reports of the replicas that report to this member. With many replicas the
+/// leader otherwise receives only heartbeats of unchanged replicas, and its registry may lack some of them.
 void ServiceControlImpl::tellNewLeader(TimePoint now) {
   const NodeName& leader = node_->log().leader();
   const Term term = node_->log().term();
@@ -143,8 +144,8 @@
   }
 }
 
-/// A notice binds once it is committed, every router in touch that may use the replica holds a table that
-/// shows it, and a quorum has confirmed after that that this member leads.
+/// A leave notice binds once it is committed, every router in contact that may use the replica holds a table
+/// that reflects the notice, and a quorum has confirmed this member's leadership after that.
 void ServiceControlImpl::settleNotices(TimePoint now) {
   if (notices_.all().empty() || (isLargeFleet() && now < leader_->next_settle)) {
     return;
@@ -183,10 +184,10 @@
   leader_->push_to_all = leader_->push_to_all || !leader_->has_subscriptions;
 }
 
-/// For whoever asks why a notice took so long.
+/// Describes why a leave notice doesn't bind yet, for the error message.
 std::string ServiceControlImpl::whatUnbinds(const LeaveNotice& notice, TimePoint now) const {
   if (!notice.revision) {
-    return "it isn't committed yet";
+    return "the leave notice isn't committed yet";
   }
   std::size_t behind = 0;
   std::string first;
@@ -196,7 +197,7 @@
     }
     if (++behind == 1) {
       first = name.value + " holds revision " + std::to_string(record.status.revision.value) + " of " +
-              std::to_string(notice.revision->value) + ", heard " +
+              std::to_string(notice.revision->value) + ", last contact " +
               std::to_string(toMilliseconds(now - record.heard)) + " ms ago";
     }
   }
@@ -204,12 +205,13 @@
     return isSubscriberInTouch(router, now);
   });
   if (behind == 0 && user) {
-    return user->value + " may still use the replica";
+    return "router " + user->value + " may still use the replica";
   }
-  return behind == 0 ? "leadership wasn't confirmed yet" : std::to_string(behind) + " routers lag: " + first;
+  return behind == 0 ? "a quorum hasn't confirmed the leadership yet"
+                     : std::to_string(behind) + " routers hold older revisions: " + first;
 }
 
-/// A router that has been silent for longer than the limit isn't in touch: nothing binds it until it is.
+/// A leave notice doesn't wait for a router that is out of contact.
 bool ServiceControlImpl::holdsOrOutOfTouch(const RouterRecord& record, LogIndex revision,
                                            TimePoint now) const {
   return now - record.heard > settings_.router_out_of_touch || leader_->feed.holds(record.status, revision);
@@ -225,8 +227,8 @@
                                     [&](const NodeName& router) { return isSubscriberInTouch(router, now); });
 }
 
-/// A new leader waits for a router that it hasn't heard itself yet as for one that has fallen silent just
-/// now.
+/// For a new leader the last contact with a router counts as no earlier than the start of its leadership,
+/// since it may not have received that router's statuses before.
 bool ServiceControlImpl::isSubscriberInTouch(const NodeName& router, TimePoint now) const {
   const auto record = directory_.routers().find(router);
   if (record == directory_.routers().end()) {
@@ -240,7 +242,9 @@
   std::erase_if(forwarded_, [&](const auto& item) {
     const bool late = now >= item.second.deadline;
     if (late) {
-      answer(item.second.question, ResultCode::NotBoundEverywhere, "the leader didn't answer in time");
+      answer(item.second.question, ResultCode::NotBoundEverywhere,
+             "the leader didn't respond to the leave notice within " +
+                 std::to_string(toMilliseconds(kForwardLimit)) + " ms");
     }
     return late;
   });
--- a/src/services/service_control_subscriptions.cc
+++ b/src/services/service_control_subscriptions.cc
@@ -3,25 +3,26 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl that keeps a member's work for routers from growing as routers x replicas:
-/// from some size on routers are told of the replicas that their calls may need alone, tell their status the
-/// less often the more of them there are, and are known to members that don't lead by what the leader tells.
+/// The part of ServiceControlImpl that keeps a member's work for routers from growing as routers x replicas.
+/// In a large fleet routers receive only the replicas that their calls may need, report their status less
+/// often the more routers there are, and members that don't lead get the list of routers from the leader.
 namespace ferryrock::services {
 namespace {
 
-/// Up to so many routers are told of each change at once.
+/// Up to this many routers, every change is sent to all routers at once.
 constexpr std::size_t kSmallFleet = 16;
-/// Up to so many replicas a table of all of them is smaller than what it takes to ask, some 36 kB.
+/// Up to this many replicas routers get tables of all replicas: at some 36 kB such a table is smaller than
+/// the messages that subscriptions take.
 constexpr std::size_t kMostToldToAll = 512;
-/// Replicas that report to the leader itself; of more, each costs it a connection and an answer in a
-/// heartbeat that the other members can bear.
+/// Up to this many replicas report to the leader itself. Beyond that they report to the other members, since
+/// each costs a connection and a response per heartbeat.
 constexpr std::size_t kReplicasAtLeader = 400;
-/// Statuses a second that a leader wants of all routers together, and that another member wants.
+/// Target rates of router statuses per second, over all routers, at the leader and at each other member.
 constexpr double kStatusesAtLeader = 1000;
 constexpr double kStatusesAtMember = 250;
 constexpr Duration kLeastMemberInterval = std::chrono::seconds(1);
-/// Routers whose statuses can be missed for longer are cut off, frozen or gone. Updates for them would only
-/// wait in memory; the next status brings what they lack.
+/// Routers without a status for longer than this are cut off, frozen or gone. Updates for them would only
+/// occupy memory; they receive what they lack after their next status.
 constexpr Duration kReachedFor = std::chrono::milliseconds(1500);
 
 Duration spreadOver(std::size_t routers, double statuses_per_second) {
@@ -43,7 +44,8 @@
   return spreadOver(directory_.routers().size(), kStatusesAtLeader);
 }
 
-/// In whole powers of the least one, so that routers tell all members in one step. Zero: routers' default.
+/// The interval is a power-of-two multiple of kLeastMemberInterval, so that routers report to all members in
+/// one step. Zero: the routers' default interval.
 Duration ServiceControlImpl::memberStatusInterval() const {
   const Duration least = spreadOver(directory_.routers().size(), kStatusesAtMember);
   if (least <= kLeastMemberInterval) {
@@ -64,7 +66,8 @@
   return leader_->has_subscriptions && status.subscribes;
 }
 
-/// From here on to the end of the term; what routers hold by now isn't known.
+/// Switches to subscriptions until the end of the term. The tables that routers hold at this point aren't
+/// known.
 void ServiceControlImpl::beginSubscriptions() {
   leader_->has_subscriptions = true;
   for (const auto& [router, record] : directory_.routers()) {
@@ -85,7 +88,8 @@
   leader_->tables.follow(changes);
 }
 
-/// A model that some replica holds needs no plan: the router just doesn't know of it yet.
+/// Returns true if a call waits for a model that needs placement. For a subscribed router, a model that some
+/// replica has loaded needs none: its next table lists that replica.
 bool ServiceControlImpl::needsPlan(const wire::CallRouterStatus& status) const {
   return std::any_of(status.wants.begin(), status.wants.end(), [&](const wire::ModelWant& want) {
     const bool held = !index_.find({want.service, want.model, want.adapter}).empty();
@@ -93,8 +97,8 @@
   });
 }
 
-/// A member that hears of routers too seldom to offer them to callers is told them, where it doesn't hold the
-/// same already.
+/// Adds the leader's list of routers to the hello for a member that receives statuses too rarely to offer
+/// routers to callers, unless the member reported that it holds the same list.
 void ServiceControlImpl::sayContacts(wire::MemberHello& hello, const NodeName& node,
                                      const std::vector<wire::RouterContact>& contacts) const {
   hello.contacts.reset();
--- a/src/services/service_control_updates.cc
+++ b/src/services/service_control_updates.cc
@@ -3,36 +3,38 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl by which a leader tells routers what they need: when each is owed an
-/// update, what stands in it, and in which rounds those of a large fleet leave.
+/// The part of ServiceControlImpl by which a leader sends updates to routers: when a router needs an update,
+/// what the update contains, and how the updates of a large fleet are divided into rounds.
 namespace ferryrock::services {
 namespace {
 
-/// Between two rounds of updates to a large fleet, at least.
+/// Minimum time between two rounds of updates to a large fleet.
 constexpr Duration kPushInterval = std::chrono::milliseconds(20);
-/// Of a large fleet, in one round, so that even one with a catalog for each takes a part of the time between
-/// two heartbeats.
+/// Maximum number of updates in one round of a large fleet, so that even a round with a catalog in each
+/// update takes only a part of the time between two heartbeats.
 constexpr std::size_t kUpdatesPerRound = 128;
-/// Pause after a round for each update of it: some 4,000 a second, so that a leader keeps more than half of
-/// its processor for other work.
+/// Pause after a round per update sent, which limits updates to some 4,000 a second, so that a leader keeps
+/// more than half of its processor time for other work.
 constexpr Duration kPausePerUpdate = std::chrono::microseconds(250);
-/// Entries of replica tables that one round sends to a large fleet, some 70 B each in a message. What a new
-/// leader owes all routers would else wait in its memory at once.
+/// Maximum number of replica table entries that one round sends to a large fleet, some 70 B each in a
+/// message. It bounds the memory of a new leader, which would otherwise build the tables of all routers at
+/// once.
 constexpr std::size_t kEntriesPerRound = 100'000;
-/// Pause after a round for each entry of it: 28 MB a second.
+/// Pause after a round per table entry sent, which limits entries to 28 MB a second.
 constexpr Duration kPausePerEntry = std::chrono::nanoseconds(2500);
-/// For this long a new leader tells routers that it hasn't heard itself.
+/// For this long a new leader also sends updates to routers without recent contact.
 constexpr Duration kAnnounced = std::chrono::milliseconds(1500);
-/// Less than the interval of the routers' regular statuses.
+/// Minimum time between two updates without changes to a router; less than the interval of its regular
+/// statuses.
 constexpr Duration kSignOfLife = std::chrono::milliseconds(200);
-/// Between two tellings of loads to a router, at least. Streams last about 2 s; what a router sends in
-/// between it knows itself.
+/// Minimum time between two reports of loads to a router. Streams last about 2 s, and a router accounts
+/// itself for the calls that it sends in between.
 constexpr Duration kLoadsInterval = std::chrono::milliseconds(400);
-/// Of loads to all routers: 0.8% of what a leader's link of 1,000 Mbit/s carries, and a tenth of what calls
-/// of today's fleets send from zone to zone.
+/// Maximum rate of load reports to all routers together: 0.08% of a leader's link of 1,000 Mbit/s, and a
+/// tenth of the traffic between zones that the calls of typical fleets cause.
 constexpr double kLoadBytesPerSecond = 100'000;
 constexpr double kBytesPerLoad = 14;
-/// Fleets so large that a router would be told less often aren't told at all: older sums aren't gone by.
+/// In fleets so large that the interval would exceed this, no loads are reported: routers ignore older sums.
 constexpr Duration kLongestLoadsInterval = std::chrono::seconds(2);
 
 bool waitsForModel(const wire::CallRouterStatus& status) {
@@ -65,8 +67,7 @@
   }
 }
 
-/// A router that holds everything gets no more than a regular sign of life: what it tells in between needs no
-/// answer.
+/// A router that is up to date gets only regular keepalive updates; its statuses in between need no response.
 bool ServiceControlImpl::owedUpdate(const wire::CallRouterStatus& status, TimePoint now) {
   const wire::CallRouterStatus expected = leader_->updates.expected(status, now);
   const bool holds_table =
@@ -74,7 +75,7 @@
   const bool current = holds_table && expected.catalog >= node_->hosted().catalog().version &&
                        expected.directory == feedContext(status.zone, now).directory_digest &&
                        !waitsForModel(status);
-  // A little less than routers' intervals, so that each regular status has its answer.
+  // A little less than the status interval, so that each regular status gets a response.
   const Duration sign_of_life = std::max(kSignOfLife, leaderStatusInterval() * 4 / 5);
   return !current || now - leader_->updates.lastSent(status.router) >= sign_of_life;
 }
@@ -117,7 +118,7 @@
   return !useful || since < paced ? std::nullopt : std::optional(std::move(loads));
 }
 
-/// Of the models that the router's calls wait for, those that are being loaded.
+/// Returns the models that the router's calls wait for and that are being loaded, with the expected time.
 std::vector<wire::ComingModel> ServiceControlImpl::comingFor(const wire::CallRouterStatus& status,
                                                              TimePoint now) {
   std::vector<wire::ComingModel> coming;
@@ -136,8 +137,9 @@
   return coming;
 }
 
-/// True when a notice waits until this router tells that it holds a revision. A router that has told so isn't
-/// asked again: its answer to each update would be answered by the next one, without end.
+/// Returns true if a leave notice waits for this router to confirm a revision. A router that has confirmed it
+/// isn't requested to do so again: otherwise its status would trigger an update and the update a status,
+/// endlessly.
 bool ServiceControlImpl::awaitsConfirmation(const wire::CallRouterStatus& status) const {
   return std::any_of(notices_.all().begin(), notices_.all().end(), [&](const LeaveNotice& notice) {
     return notice.revision && !leader_->feed.holds(status, *notice.revision);
@@ -150,12 +152,12 @@
          leader_->placer.loadsBegun() != leader_->pushed_loads || leader_->tables.hasDue();
 }
 
-/// One round of updates. Routers of a small fleet are told of each change at once. Those of a large one are
-/// told in rounds of bounded size, with pauses in proportion to the last round, so that the leader's work for
-/// updates stays bounded and no round keeps it from its heartbeats: all routers if the change can't wait,
-/// else those whose status asks for it and those whose calls wait for a model. The others, and what is lost
-/// on the way, follow with the next status; routers for which a round has no room left are told in the next
-/// one.
+/// Sends one round of updates. In a small fleet all routers get each change at once. In a large fleet rounds
+/// have a bounded size and are followed by a pause in proportion to it, so that the leader's work for updates
+/// stays bounded and no round delays its heartbeats. Urgent changes go to all routers; others go to routers
+/// whose status requires an update and to those whose calls wait for a model. The remaining routers get the
+/// changes, and updates that were lost, after their next status. Routers that don't fit into a round get
+/// their update in the next one.
 void ServiceControlImpl::pushTables(TimePoint now) {
   const bool news = hasNews();
   if (!news && !owesUpdates()) {
@@ -194,7 +196,8 @@
   return !leader_->awaited.empty() || !leader_->unanswered.empty();
 }
 
-/// What is new since the last round: to all routers, or to those whose calls wait for it.
+/// Queues updates with the changes since the last round for all routers, or for those whose calls wait for
+/// them.
 void ServiceControlImpl::queueUpdates() {
   const CatalogVersion version = node_->hosted().catalog().version;
   const bool to_all = !isLargeFleet() || leader_->push_to_all || version != leader_->pushed_version;
@@ -218,7 +221,7 @@
   }
 }
 
-/// Routers on which calls or notices wait come before those that are owed a regular update.
+/// Returns the next router to update: routers with updates that calls or leave notices wait for come first.
 std::optional<NodeName> ServiceControlImpl::nextToTell() {
   std::optional<NodeName> router = leader_->awaited.take();
   if (router) {
@@ -228,8 +231,8 @@
   return leader_->unanswered.take();
 }
 
-/// Updates for a router that is cut off would only wait in memory. A new leader tells also those that it
-/// knows from other members alone.
+/// Updates for a router that is cut off would only occupy memory. A new leader also sends updates to routers
+/// that it knows only from other members.
 bool ServiceControlImpl::isReached(const RouterRecord& record, TimePoint now) const {
   const bool announces = now - leader_->since < kAnnounced;
   return announces || now - record.heard <= reachedFor();
--- a/src/services/service_control_zones.cc
+++ b/src/services/service_control_zones.cc
@@ -3,9 +3,9 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl that takes zones out of use and gives them back. The replicated state holds
-/// which zones are evacuated, and the replica registry of each member goes by it: routers get the zone's
-/// replicas as closed with the next update, whoever leads.
+/// The part of ServiceControlImpl that evacuates zones and returns them to use. The evacuated zones are part
+/// of the replicated state, which every member applies to its replica registry. Whichever member leads,
+/// routers receive the zone's replicas as closed with the next update.
 namespace ferryrock::services {
 
 Effects ServiceControlImpl::evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated,
@@ -27,7 +27,7 @@
   return {zones.begin(), zones.end()};
 }
 
-/// Without zones in the settings those of known replicas are all that can be told apart.
+/// If the settings list no zones, only zones that are evacuated or have known replicas are valid.
 bool ServiceControlImpl::isKnownZone(const ZoneName& zone) const {
   if (node_->hosted().evacuated().contains(zone)) {
     return true;
--- a/src/services/status_receipts.cc
+++ b/src/services/status_receipts.cc
@@ -3,9 +3,11 @@
 namespace ferryrock::services {
 namespace {
 
-/// Receipts kept of a router: more than come until the cell's next heartbeat, 100 ms, and its answers.
+/// Maximum number of receipts per router: more than accumulate until the cell's next heartbeat, after 100 ms,
+/// and its responses.
 constexpr std::size_t kKept = 12;
-/// Between two of them; routers that are in a hurry tell their status each 10 ms.
+/// Minimum time between two receipts of a router; routers with urgent requests report their status every 10
+/// ms.
 constexpr Duration kLeastDistance = std::chrono::milliseconds(40);
 
 }  // namespace
--- a/src/services/status_receipts.h
+++ b/src/services/status_receipts.h
@@ -11,12 +11,12 @@
 
 namespace ferryrock::services {
 
-/// When a leader got the routers' latest statuses, so that it can tell which of them it got before a majority
-/// of the members still followed it. Used by one thread.
+/// Arrival times of the routers' latest statuses at a leader. From them the leader determines which statuses
+/// arrived before a majority of the members last confirmed its leadership. Used by one thread.
 class StatusReceipts {
  public:
   void onStatus(const wire::CallRouterStatus& status, TimePoint now);
-  /// The router's newest status that came no later than `followed`; nothing proved if there is none.
+  /// Returns the router's newest status that arrived no later than `followed`; an empty one if there is none.
   wire::ProvedStatus provedBy(const NodeName& router, TimePoint followed) const;
   template <class Routers>
   void keepRouters(const Routers& routers) {
--- a/src/services/table_feed.cc
+++ b/src/services/table_feed.cc
@@ -59,8 +59,9 @@
   return changesAt(status.revision) >= changesAt(revision);
 }
 
-/// A router that knows no lives sends the id on as the instance that it expects, and is turned away with any
-/// other id than the name. A name is gone only when no life of it is left.
+/// For routers that don't support incarnation ids: they pass the id on as the expected instance, and replicas
+/// reject their calls with any id but the plain name. A name is listed as removed only if none of its
+/// incarnations is left.
 void TableFeed::nameReplicas(wire::ServiceUpdate& update) const {
   for (wire::RoutedReplica& replica : update.replicas) {
     replica.id = ReplicaId(wire::replicaName(replica.id));
--- a/src/services/table_feed.h
+++ b/src/services/table_feed.h
@@ -12,43 +12,44 @@
 
 namespace ferryrock::services {
 
-/// What every update tells beside the changes.
+/// Content of an update that doesn't depend on the router's state, only on its zone.
 struct FeedContext {
   const wire::ServiceCatalog& catalog;
   std::vector<NodeName> members;
   std::uint32_t routers = 1;
-  bool complete = false;               ///< replicas that haven't reported by now are gone
-  std::vector<std::string> directory;  ///< where callers may connect
+  bool complete = false;               ///< replicas that haven't reported to this leader yet are gone
+  std::vector<std::string> directory;  ///< router addresses that callers may connect to
   std::uint64_t directory_digest = 0;  ///< wire::directoryDigest() of it
 };
 
-/// The catalog without its models: they are most of its bytes and change seldom, while each of many routers
-/// gets each version.
+/// Returns the catalog without its models, which routers don't need. They are most of its bytes and rarely
+/// change, while each version is sent to every router.
 wire::ServiceCatalog catalogForRouters(const wire::ServiceCatalog& catalog);
-/// The replica as routers are told of it.
+/// Returns the replica's entry for router tables.
 wire::RoutedReplica replicaForRouters(const ReplicaRecord& record, bool accepting);
 
-/// One leader's updates to the routers: the catalog and the changes of the replica table since what each of
-/// them holds. Used by one thread.
+/// Builds one leader's updates for routers without subscriptions: the catalog, and the changes of the replica
+/// table since the revision that the router holds. Used by one thread.
 class TableFeed {
  public:
   TableFeed(Term term, const ReplicaRegistry& registry) : term_(term), registry_(registry) {}
 
-  /// The registry's present state as a revision of this term.
+  /// Revision of this term for the registry's current state.
   LogIndex revision() const { return revisionAt(registry_.changes()); }
-  /// The registry's state after that count of changes.
+  /// Revision of this term for the registry's state at a change count.
   LogIndex revisionAt(std::uint64_t change) const;
-  /// An update that says nothing of replicas.
+  /// Builds an update without replicas.
   wire::ServiceUpdate withoutReplicas(const wire::CallRouterStatus& status, const FeedContext& context) const;
-  /// What brings the router of this status up to date; nothing more than a sign of life if it is.
+  /// Builds the update that brings the router of this status up to date; without changes, it is only a
+  /// keepalive.
   wire::ServiceUpdate updateFor(const wire::CallRouterStatus& status, const FeedContext& context) const;
-  /// True when the router holds the revision or a later one of this term.
+  /// Returns true if the router holds the revision or a later one of this term.
   bool holds(const wire::CallRouterStatus& status, LogIndex revision) const;
 
  private:
-  /// Count of changes that a revision of this term stands for; 0 for one of another term.
+  /// Inverse of revisionAt(), plus 1; 0 for a revision of another term.
   std::uint64_t changesAt(LogIndex revision) const;
-  /// Puts the names of replicas in place of the ids of their lives.
+  /// Replaces replica ids, which include the incarnation, by replica names.
   void nameReplicas(wire::ServiceUpdate& update) const;
 
   Term term_;
--- a/src/services/update_ledger.cc
+++ b/src/services/update_ledger.cc
@@ -3,7 +3,8 @@
 namespace ferryrock::services {
 namespace {
 
-/// Routers tell their status more often than this.
+/// Updates that the router's status doesn't reflect within this time count as lost; routers report their
+/// status more often.
 constexpr Duration kOnItsWay = std::chrono::milliseconds(400);
 
 }  // namespace
--- a/src/services/update_ledger.h
+++ b/src/services/update_ledger.h
@@ -8,17 +8,17 @@
 
 namespace ferryrock::services {
 
-/// What one leader has sent to each router and what may still be on its way, so that nothing is sent again
-/// with every push until the router's next status. Used by one thread.
+/// Tracks what one leader has sent to each router and what may still be in flight, so that pushes before the
+/// router's next status don't repeat it. Used by one thread.
 class UpdateLedger {
  public:
-  /// The status that the router will have once what is on its way has arrived. What isn't confirmed after a
-  /// while, or was reported as missed, is taken as lost.
+  /// Returns the status that the router will have once the updates in flight have arrived. Updates that
+  /// aren't confirmed within 400 ms, or that the router reports as missed, count as lost.
   wire::CallRouterStatus expected(const wire::CallRouterStatus& status, TimePoint now);
   void onSent(const NodeName& router, const wire::ServiceUpdate& update, TimePoint now);
-  /// When the router was last told the loads of replicas; long ago if never.
+  /// When replica loads were last sent to the router; TimePoint{} if never.
   TimePoint loadsSent(const NodeName& router) const;
-  /// When the router was last sent something; long ago if never.
+  /// When an update was last sent to the router; TimePoint{} if never.
   TimePoint lastSent(const NodeName& router) const;
   void keepRouters(const std::map<NodeName, RouterRecord>& routers);
 
@@ -26,7 +26,7 @@
   struct Sent {
     TimePoint last{};
     LogIndex revision;
-    TimePoint revision_since{};  ///< when the router's revision was last built upon
+    TimePoint revision_since{};  ///< when `revision` was last reset to the router's reported one
     CatalogVersion catalog;
     TimePoint catalog_sent{};
     std::uint64_t directory = 0;
--- a/src/services/update_queue.h
+++ b/src/services/update_queue.h
@@ -8,11 +8,10 @@
 
 namespace ferryrock::services {
 
-/// Routers that are owed an update: each once, in the order in which they came to be owed one, so that no
-/// router waits for longer than those that were owed theirs before it. Used by one thread.
+/// FIFO queue of routers that need an update, without duplicates. Used by one thread.
 class UpdateQueue {
  public:
-  /// A router that waits already keeps its place.
+  /// Appends a router; a router in the queue keeps its place.
   void add(const NodeName& router) {
     if (waiting_.insert(router).second) {
       order_.push_back(router);
@@ -21,7 +20,7 @@
   void remove(const NodeName& router) { waiting_.erase(router); }
   bool empty() const { return waiting_.empty(); }
   std::size_t size() const { return waiting_.size(); }
-  /// The one that has waited longest; nullopt: none waits.
+  /// Removes and returns the router at the front; nullopt: the queue is empty.
   std::optional<NodeName> take() {
     while (!order_.empty()) {
       NodeName router = std::move(order_.front());
@@ -34,7 +33,7 @@
   }
 
  private:
-  std::deque<NodeName> order_;  ///< also those that were removed
+  std::deque<NodeName> order_;  ///< may contain removed routers, which take() skips
   std::set<NodeName> waiting_;
 };
 
