--- a/tests/services/catalog_delivery_test.cc
+++ b/tests/services/catalog_delivery_test.cc
@@ -3,16 +3,16 @@
 
 #include "services/service_cluster.h"
 
-/// From the acknowledgement of a catalog to its being in force at the routers, while connections are lost.
+/// Time from the acknowledgement of a catalog until it is in force at all routers, while connections fail.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// The users' shortest limit from an acknowledgement to a catalog's being in force everywhere.
+/// Strictest required limit from the acknowledgement of a catalog until it is in force everywhere.
 constexpr Duration kInForceWithin = 2s;
 
-/// Five voters and the product's own routers, which have catalog 1.
+/// A cell of five voters and real routers, in which catalog 1 is in force everywhere.
 struct Deployment {
   explicit Deployment(std::uint64_t seed, std::size_t router_count = 2) : cluster(3, 2, seed) {
     cluster.addMember("10.0.0.4:7000");
@@ -38,7 +38,7 @@
   std::vector<RunningRouter*> routers;
 };
 
-TEST_CASE("A router whose connection to the leader has gone silent has an acknowledged catalog in time") {
+TEST_CASE("A silent connection between a router and the leader doesn't delay a catalog beyond the limit") {
   const auto before = GENERATE(0ms, 100ms, 400ms, 900ms, 1500ms, 2900ms);
   INFO("silent " << before.count() << " ms before the acknowledgement");
   Deployment deployment(7);
@@ -49,7 +49,7 @@
   CHECK(deployment.everywhere(2));
 }
 
-TEST_CASE("A router that can't reach the leader has each catalog in time from the other members") {
+TEST_CASE("A router cut off from the leader gets each catalog in time from the other members") {
   Deployment deployment(7);
   deployment.cluster.cutLink(deployment.routers.front()->node, deployment.cluster.leader()->node);
   for (std::uint64_t version = 2; version <= 6; ++version) {
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("A router whose every connection has gone silent is back within the limit") {
+TEST_CASE("A router reconnects and gets a catalog in time after all its connections went silent") {
   Deployment deployment(7);
   for (std::size_t i = 0; i < 5; ++i) {
     deployment.cluster.silence(deployment.routers.front()->node, deployment.cluster.member(i).node);
@@ -69,7 +69,7 @@
   CHECK(deployment.everywhere(2));
 }
 
-TEST_CASE("A leader's loss right after the acknowledgement leaves no router behind") {
+TEST_CASE("A leader crash right after the acknowledgement leaves no router on an older catalog") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     Deployment deployment(seed);
@@ -82,8 +82,7 @@
   }
 }
 
-TEST_CASE(
-    "Routers have each acknowledged catalog in time while their connections go silent one after the other") {
+TEST_CASE("Repeated silent connections at random don't delay any acknowledged catalog beyond the limit") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     Deployment deployment(seed, 4);
@@ -102,7 +101,7 @@
   }
 }
 
-TEST_CASE("Members that don't lead tell a catalog only to routers that the leader didn't reach") {
+TEST_CASE("Followers send a catalog only to routers that the leader can't reach") {
   Deployment deployment(7);
   const std::size_t before = deployment.cluster.catalogs_by_others;
   for (std::uint64_t version = 2; version <= 9; ++version) {
@@ -112,7 +111,7 @@
   CHECK(deployment.cluster.catalogs_by_others == before);
 }
 
-TEST_CASE("A router without a catalog waits for the leader, which tells the replicas as well") {
+TEST_CASE("A router without any catalog gets its first one from the leader, together with the replicas") {
   Deployment deployment(7);
   RunningRouter& fresh = deployment.cluster.addCallRouter("edge-9");
   deployment.cluster.silence(fresh.node, deployment.cluster.leader()->node);
--- a/tests/services/catalog_spread_test.cc
+++ b/tests/services/catalog_spread_test.cc
@@ -23,7 +23,7 @@
   CatalogSpread spread{kOutOfTouch};
 };
 
-TEST_CASE("It is told once when a catalog is in force at every router that is heard") {
+TEST_CASE("A completed catalog rollout to all routers in contact is reported exactly once") {
   Fleet fleet;
   fleet.hear("edge-1", 4);
   fleet.hear("edge-2", 4);
@@ -42,7 +42,7 @@
   CHECK_FALSE(fleet.look(5));
 }
 
-TEST_CASE("A router that stays behind is named once a second until it is out of touch") {
+TEST_CASE("A router that stays on an older catalog is reported once a second until it is out of contact") {
   Fleet fleet;
   fleet.hear("edge-1", 4);
   fleet.hear("edge-2", 5);
--- a/tests/services/fleet_event_test.cc
+++ b/tests/services/fleet_event_test.cc
@@ -6,17 +6,17 @@
 #include "services/replica_choice.h"
 #include "services/subscribed_fleet.h"
 
-/// Events that befall a large fleet, counted at two sizes: what a cell sends for one grows with what the
-/// event concerns, not with that times the rest of the fleet.
+/// Failures in a large fleet, with the entries that the cell sends counted at several fleet sizes: the cost
+/// of a failure must grow with the nodes concerned, and not also with the size of the rest of the fleet.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// A router's table with all that the calls of these tests need, at most: three models and the plain service.
+/// Maximum entries of a router's table for the calls of these tests: three models and the plain service.
 constexpr std::size_t kEntriesPerRouter = 40;
 
-/// Each router calls the plain service and three models, so that it holds a table.
+/// Sends calls for the plain service and three models at each router, so that it holds a table.
 void useModels(SubscribedFleet& fleet) {
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"", "m1", "m2", "m3"}) {
@@ -26,15 +26,15 @@
   fleet.cluster.runFor(2s);
 }
 
-/// Replicas listed in what is sent while the event takes its course.
+/// Number of replica entries sent to routers during the event.
 std::size_t entriesFor(SubscribedFleet& fleet, const std::function<void()>& event) {
   fleet.cluster.entries_sent = 0;
   event();
   return fleet.cluster.entries_sent;
 }
 
-/// Entries sent grow with the routers and not with the replicas, but for `beside` of them. Returns those of
-/// the smaller fleet.
+/// Checks that the entries sent grow with the routers and not with the replicas, with a tolerance of `beside`
+/// entries. Returns the entries of the smallest fleet.
 std::size_t checkGrowth(
     const std::function<std::size_t(std::size_t routers, std::size_t replicas)>& entriesAt,
     std::size_t beside) {
@@ -48,7 +48,7 @@
   return small;
 }
 
-TEST_CASE("Routers that are killed at once and come back cost their own tables") {
+TEST_CASE("A simultaneous restart of many routers costs no more than their own tables") {
   const auto entriesAt = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
     useModels(fleet);
@@ -68,7 +68,7 @@
   CHECK(small <= 10 * kEntriesPerRouter * 2);
 }
 
-TEST_CASE("In a storm of catalogs no router is sent a version twice") {
+TEST_CASE("Rapid catalog changes send no version to a router twice") {
   constexpr std::uint64_t kVersions = 8;
   for (const std::size_t routers : {40, 80}) {
     SubscribedFleet fleet(routers, 600);
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_CASE("Routers that are cut off are sent nothing, and cost their own tables once they are back") {
+TEST_CASE("Cut-off routers get no updates, and cost no more than their own tables after reconnecting") {
   const auto entriesAt = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
     useModels(fleet);
@@ -107,7 +107,7 @@
   checkGrowth(entriesAt, kEntriesPerRouter);
 }
 
-TEST_CASE("Replicas that crash together cost the tables that listed them") {
+TEST_CASE("A simultaneous crash of many replicas costs no more than the tables that listed them") {
   constexpr std::size_t kRouters = 40;
   const auto entriesAt = [](std::size_t replicas) {
     SubscribedFleet fleet(kRouters, replicas);
@@ -122,12 +122,13 @@
   const std::size_t small = entriesAt(600);
   const std::size_t large = entriesAt(1200);
   INFO(small << " entries, " << large << " with twice the replicas and twice the crashes");
-  // Each router lists no more of twice as many, so that twice the crashes strike its table no more often.
-  // Those fall to 40 expiries at most, each of a batch of replicas.
+  // A table has the same size in a fleet with twice the replicas, so that twice the crashes affect it no more
+  // often. The crashes are detected in at most 40 expiry rounds, each with a batch of replicas.
   CHECK(large <= small + small / 2);
 }
 
-TEST_CASE("A router that asks for very many and unknown names gets a bounded table, and the others theirs") {
+TEST_CASE(
+    "Subscriptions to thousands of unknown names yield a bounded table and don't affect other routers") {
   constexpr std::size_t kNames = 5000;
   SubscribedFleet fleet(20, 600);
   ScriptedRouter& greedy = fleet.cluster.addRouter("greedy");
@@ -137,13 +138,13 @@
     greedy.status.interests.push_back({ServiceName("llm"), SubscribedFleet::modelAt(i), "none"});
   }
   fleet.cluster.runFor(500ms);
-  greedy.replicas.clear();  // told before it subscribed
+  greedy.replicas.clear();  // received before it subscribed
   fleet.cluster.runFor(2s);
   CHECK_FALSE(greedy.replicas.empty());
   CHECK(greedy.replicas.size() <= ReplicaChoice::kMostOfGroup * (kModels + 1));
   useModels(fleet);
   CHECK(fleet.refused() == 0);
-  // It vanishes: what it asked for is forgotten with it.
+  // After the router has vanished, its subscriptions are removed and cause no further updates.
   greedy.silent = true;
   fleet.cluster.runFor(15s);
   const std::size_t before = fleet.cluster.updates_to[NodeName("greedy")];
--- a/tests/services/key_revocation_test.cc
+++ b/tests/services/key_revocation_test.cc
@@ -6,14 +6,14 @@
 
 #include "services/service_cluster.h"
 
-/// How long a key that was taken away is still obeyed, and whether one that is valid is obeyed, while
-/// machines and links fail.
+/// While machines and links fail, routers must stop accepting a revoked key within the limit and must go on
+/// accepting a valid one.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// The users' limit is 5 s; routers keep 250 ms of it in hand.
+/// The required limit is 5 s; routers keep a margin of 250 ms.
 constexpr Duration kRevocationLimit = 5s;
 constexpr Duration kKeyLifetime = 4750ms;
 constexpr Duration kProbeInterval = 50ms;
@@ -28,7 +28,7 @@
   return catalog;
 }
 
-/// Five voters and three of the product's own routers, whose catalog lists the keys "stays" and "goes".
+/// A cell of five voters and three real routers, whose catalog lists the keys "stays" and "goes".
 struct KeyedDeployment {
   explicit KeyedDeployment(std::uint64_t seed) : cluster(3, 2, seed) {
     cluster.key_lifetime = kKeyLifetime;
@@ -44,7 +44,8 @@
     REQUIRE(cluster.replaceAcknowledged(catalogWithKeys(1, {"stays", "goes"})));
     cluster.runFor(2s);
   }
-  /// One call with the key at each router that runs; how many routers admit it.
+  /// Sends one call with the key to each router that isn't frozen. Returns the number of routers that admit
+  /// it.
   std::size_t admittedBy(const std::string& key) {
     std::size_t admitted = 0;
     for (RunningRouter* router : routers) {
@@ -72,7 +73,7 @@
   std::vector<RunningRouter*> routers;
 };
 
-/// A fault that begins `before` the key is taken away.
+/// A fault that begins before the key is revoked.
 struct RevocationFault {
   const char* name;
   std::function<void(KeyedDeployment&)> begin;
@@ -86,15 +87,15 @@
        [](KeyedDeployment& it) { it.cluster.silence(it.routers[0]->node, it.cluster.leader()->node); }},
       {"a router is frozen for 6 s", [](KeyedDeployment& it) { it.cluster.freeze(*it.routers[0], 6s); }},
       {"a router is frozen for 4 s", [](KeyedDeployment& it) { it.cluster.freeze(*it.routers[0], 4s); }},
-      {"a router starts again", [](KeyedDeployment& it) { it.cluster.restart(*it.routers[0]); }},
+      {"a router restarts", [](KeyedDeployment& it) { it.cluster.restart(*it.routers[0]); }},
       {"the leader is killed", [](KeyedDeployment& it) { it.cluster.kill(*it.cluster.leader()); }},
       {"the leader is frozen for 3 s",
        [](KeyedDeployment& it) { it.cluster.freeze(*it.cluster.leader(), 3s); }},
       {"the leader is frozen for 7 s",
        [](KeyedDeployment& it) { it.cluster.freeze(*it.cluster.leader(), 7s); }},
-      {"the leader is cut from the members, not from the routers",
+      {"the leader is cut off from the members but not from the routers",
        [](KeyedDeployment& it) { it.cutOff(*it.cluster.leader()); }},
-      {"the leader is cut from the members, and two of these start again at once",
+      {"the leader is cut off from the members, and two of them restart at once",
        [](KeyedDeployment& it) {
          ServiceMember& leader = *it.cluster.leader();
          it.cutOff(leader);
@@ -123,7 +124,7 @@
   return kFaults;
 }
 
-TEST_CASE("A key that was taken away is obeyed by no router after the limit, whatever fails") {
+TEST_CASE("No router accepts a revoked key after the limit, whichever node or link fails") {
   const auto fault = GENERATE(range(0, 13));
   const auto before = GENERATE(0ms, 300ms, 2000ms, 4000ms);
   const auto seed = GENERATE(range(1, 4));
@@ -144,7 +145,7 @@
   CHECK(late == 0);
 }
 
-TEST_CASE("Routers go on obeying a valid key through the loss of a leader") {
+TEST_CASE("Routers don't reject a valid key during a change of leader") {
   const auto fault = GENERATE(0, 6, 7, 9);
   const auto seed = GENERATE(range(1, 6));
   const RevocationFault& played = faults().at(static_cast<std::size_t>(fault));
@@ -159,8 +160,7 @@
   CHECK(refused == 0);
 }
 
-TEST_CASE(
-    "A router that starts again, or whose cell lost power, obeys a valid key within a second of a leader") {
+TEST_CASE("After a router restart or a power loss of the cell, a valid key works within 1 s of an election") {
   const auto fault = GENERATE(5, 12);
   const auto seed = GENERATE(range(1, 6));
   const RevocationFault& played = faults().at(static_cast<std::size_t>(fault));
@@ -172,7 +172,7 @@
   CHECK(deployment.admittedBy("stays") == 3);
 }
 
-TEST_CASE("A key that is new is obeyed, and never refused as unknown, by routers that can be sure") {
+TEST_CASE("A new key is accepted by all routers, and a removed one rejected, 500 ms after the catalog") {
   KeyedDeployment deployment(3);
   REQUIRE(deployment.cluster.replaceAcknowledged(catalogWithKeys(2, {"stays", "new"})));
   deployment.cluster.runFor(500ms);
--- a/tests/services/large_fleet_test.cc
+++ b/tests/services/large_fleet_test.cc
@@ -5,8 +5,8 @@
 
 #include "services/service_cluster.h"
 
-/// What a leader sends to many routers: bounded in number whatever they tell, and nothing to those that are
-/// gone.
+/// Updates of a leader to many routers: their rate must stay bounded however often routers report, and
+/// routers that are gone must get none.
 namespace ferryrock::services {
 namespace {
 
@@ -21,7 +21,7 @@
     REQUIRE(cluster.replaceAcknowledged(1));
     cluster.runFor(4s);
   }
-  /// Each router's calls wait for a model that no replica holds.
+  /// Makes calls at each router wait for a model that no replica has loaded.
   void waitForModel() {
     for (ScriptedRouter* router : routers) {
       router->wants = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
@@ -38,7 +38,7 @@
   std::vector<ScriptedRouter*> routers;
 };
 
-TEST_CASE("A notice that can't bind yet doesn't make a leader and routers answer each other without end") {
+TEST_CASE("A leave notice that can't bind yet causes no endless exchange of updates and statuses") {
   constexpr std::size_t kRouters = 30;
   LargeFleet fleet(kRouters);
   ServiceMember& leader = *fleet.cluster.leader();
@@ -53,12 +53,11 @@
   const std::size_t before = fleet.routers.back()->updates;
   fleet.cluster.runFor(800ms);
   CHECK_FALSE(fleet.routers.back()->replicas.at(ReplicaId("r1")).accepting);
-  // Four regular statuses, the notice and what happens to come together with them.
+  // Four regular statuses, the notice, and a margin for updates that happen to coincide with them.
   CHECK(fleet.routers.back()->updates - before <= 12);
 }
 
-TEST_CASE(
-    "Updates to a large fleet are bounded although all routers' calls wait and they tell so all the time") {
+TEST_CASE("Updates to a large fleet stay bounded while all routers constantly report waiting calls") {
   constexpr std::size_t kRouters = 200;
   constexpr int kTells = 50;
   LargeFleet fleet(kRouters);
@@ -71,11 +70,11 @@
     fleet.cluster.runFor(10ms);
   }
   const std::size_t sent = fleet.sentUpdates() - before;
-  CHECK(sent >= kRouters);             // each is told several times a second
-  CHECK(sent <= 4500 * kTells / 100);  // in half a second
+  CHECK(sent >= kRouters);             // each router gets several updates per second
+  CHECK(sent <= 4500 * kTells / 100);  // 4,500 updates per second, for half a second
 }
 
-TEST_CASE("Nothing is sent to routers that are silent, and they get what they lack with their next status") {
+TEST_CASE("Silent routers get no updates, and receive what they lack after their next status") {
   constexpr std::size_t kRouters = 30;
   constexpr std::size_t kSilent = 10;
   LargeFleet fleet(kRouters);
@@ -95,7 +94,7 @@
   CHECK(fleet.routers.front()->versions.back() == CatalogVersion{10});
 }
 
-TEST_CASE("A new leader of thousands of replicas sends its whole tables in rounds of bounded size") {
+TEST_CASE("A new leader of thousands of replicas sends full tables in rounds of bounded size") {
   constexpr std::size_t kRouters = 50;
   constexpr std::size_t kReplicas = 2500;
   constexpr std::size_t kMostEntries = 100'000 + kReplicas;
@@ -116,7 +115,7 @@
   }
 }
 
-TEST_CASE("A leader's work between two looks at its timers doesn't grow with the routers") {
+TEST_CASE("The number of updates that a leader sends per event doesn't grow with the routers") {
   constexpr std::size_t kMostAtOnce = 128;
   for (const std::size_t size : {200, 400}) {
     LargeFleet fleet(size);
@@ -137,10 +136,10 @@
   }
 }
 
-TEST_CASE("No router of a large fleet is told late because others ask more often") {
+TEST_CASE("Frequent statuses of other routers don't starve a router of updates") {
   constexpr std::size_t kRouters = 400;
   LargeFleet fleet(kRouters);
-  // All but the last by name tell their status all the time.
+  // All routers but the last by name report their status constantly.
   std::sort(fleet.routers.begin(), fleet.routers.end(),
             [](const ScriptedRouter* left, const ScriptedRouter* right) {
               return left->status.router < right->status.router;
@@ -156,7 +155,7 @@
     }
     fleet.cluster.runFor(50ms);
   }
-  // Eight of its own statuses in that time.
+  // The router itself sends eight statuses in that time.
   CHECK(last.updates - before >= 4);
 }
 
--- a/tests/services/limit_ledger_test.cc
+++ b/tests/services/limit_ledger_test.cc
@@ -12,7 +12,7 @@
 constexpr TimePoint kNow{1000s};
 const ReplicaId kReplica("r1");
 
-/// One router's messages to a ledger.
+/// A ledger that receives the messages of one router.
 struct LedgerFixture {
   wire::LimitReply tell(std::optional<double> per_second, Duration age, TimePoint now) {
     wire::LimitRequest request = next();
@@ -35,7 +35,7 @@
   LimitLedger ledger;
 };
 
-TEST_CASE("What is granted in any 4 s is what the limit allows, and a small burst") {
+TEST_CASE("Grants in any 4 s never exceed the limit plus a small burst, and nearly reach the limit") {
   const double per_second = GENERATE(0.0, 0.3, 1.0, 1.2, 7.5, 40.0);
   INFO(per_second);
   LedgerFixture fixture;
@@ -58,7 +58,7 @@
   CHECK(static_cast<double>(granted.size()) >= per_second * 20 * 0.95 - 2);
 }
 
-TEST_CASE("A refused call hears when there is room, and others hear later times") {
+TEST_CASE("Refused calls get staggered retry times that begin when credit is available") {
   LedgerFixture fixture;
   fixture.tell(1, 0s, kNow);
   const wire::LimitDecision first = fixture.ask(0s, kNow + 10ms);
@@ -69,7 +69,7 @@
   CHECK(fixture.ask(0s, kNow + 1s).granted);
 }
 
-TEST_CASE("A call that can wait is granted the next credit, and none is granted twice") {
+TEST_CASE("A call that can wait is granted credit in advance, and no credit is granted twice") {
   LedgerFixture fixture;
   fixture.tell(1, 0s, kNow);
   CHECK(fixture.ask(1500ms, kNow).wait_ms == 1000);
@@ -79,7 +79,7 @@
   CHECK(fixture.ask(0s, kNow + 2s).granted);
 }
 
-TEST_CASE("A credit that is given back is granted again, and a message that comes twice gives it back once") {
+TEST_CASE("Returned credit is granted again, and a duplicate message returns it only once") {
   LedgerFixture fixture;
   fixture.tell(1, 0s, kNow);
   REQUIRE(fixture.ask(0s, kNow + 1s).granted);
@@ -91,7 +91,7 @@
   CHECK_FALSE(fixture.ask(0s, kNow + 1s).granted);
 }
 
-TEST_CASE("The later word of a limit holds, in whatever order routers tell them") {
+TEST_CASE("The latest observation of a limit applies, in whichever order reports arrive") {
   LedgerFixture fixture;
   fixture.tell(4, 0s, kNow);
   fixture.tell(9, 3s, kNow);
@@ -103,14 +103,14 @@
   CHECK_FALSE(fixture.ask(0s, kNow + 2s, 3, 500ms).unlimited);
 }
 
-TEST_CASE("A leader that knows of no limit learns it from the router that asks, and begins without credit") {
+TEST_CASE("A leader without the limit learns it from a credit request and starts without credit") {
   LedgerFixture fixture;
   CHECK_FALSE(fixture.ask(0s, kNow, 2, 5s).granted);
   CHECK(fixture.ledger.limited() == 1);
   CHECK(fixture.ask(0s, kNow + 500ms, 2, 5s).granted);
 }
 
-TEST_CASE("Routers are told that a limit began, ended or became quite another, and of nothing between") {
+TEST_CASE("Only starts, ends and large changes of a limit are published to routers") {
   LedgerFixture fixture;
   fixture.tell(4, 0s, kNow);
   CHECK(fixture.ledger.takeChanges() ==
@@ -124,7 +124,7 @@
         std::vector<std::pair<ReplicaId, std::optional<double>>>{{kReplica, std::nullopt}});
 }
 
-TEST_CASE("Limits that are no numbers, ages below 0 and any number of replicas harm nothing") {
+TEST_CASE("Invalid limits are ignored, and negative ages and thousands of replicas are tolerated") {
   LedgerFixture fixture;
   fixture.tell(std::numeric_limits<double>::quiet_NaN(), 0s, kNow);
   fixture.tell(-1, 0s, kNow);
--- a/tests/services/limit_oracle.h
+++ b/tests/services/limit_oracle.h
@@ -10,22 +10,23 @@
 
 namespace ferryrock::services {
 
-/// Arrivals at one replica that has a limit for all routers, judged by the limit alone.
+/// Checks the arrivals at one replica against its limit over all routers, independently of how the limit is
+/// enforced.
 class LimitOracle {
  public:
-  /// The replica names this limit from `from` on; nullopt: none any more. Windows in which it named none for
-  /// some time aren't judged.
+  /// Records that the replica announces this limit from `from` on; nullopt: no limit. Windows that include a
+  /// time without a limit, or that begin less than 3 s after a limit started, aren't checked.
   void named(std::optional<double> per_second, TimePoint from) { limits_.push_back({per_second, from}); }
-  /// A router got the head of an answer that names a limit.
+  /// Records that a router received the head of a response that announces a limit.
   void told(const std::string& router, TimePoint at) { told_.try_emplace(router, at); }
   void arrived(const std::string& router, TimePoint at) { arrivals_.push_back({router, at}); }
-  /// The router isn't counted from `from` to `to`: it was cut off, frozen or restarted.
+  /// Excludes the router's calls from `from` to `to`, when it was cut off, frozen or restarted.
   void excuse(const std::string& router, TimePoint from, TimePoint to) {
     excuses_[router].push_back({from, to});
   }
 
-  /// The most that arrived in a window beyond what the limit allows there, from routers that had been told
-  /// for half a second; 0 or less: the limit was kept.
+  /// Returns the maximum excess over all windows: the calls that arrived beyond what the limit allows, from
+  /// routers that have known the limit for at least half a second. 0 or less: the limit was respected.
   int excess() const {
     int most = -1;
     if (limits_.empty()) {
@@ -80,7 +81,8 @@
         });
     return told != told_.end() && told->second + kOnTheWay <= arrival.at && !excused;
   }
-  /// Of the limits that were named in the window that begins at `from`; nullopt: not all of it is judged.
+  /// Returns the highest limit announced in the window that begins at `from`; nullopt: the window isn't
+  /// checked.
   std::optional<double> highest(TimePoint from) const {
     std::optional<double> most;
     TimePoint first_named = TimePoint::max();
--- a/tests/services/limited_fleet.cc
+++ b/tests/services/limited_fleet.cc
@@ -25,7 +25,7 @@
   if (const auto* sent = std::get_if<calls::SendAttemptEffect>(&effect)) {
     cluster.schedule(kHop, [this, &router, sent = *sent] {
       oracles_[sent.replica.value].arrived(router.node.value, cluster.now());
-      // An answer to a router's former life would name an attempt of the present one.
+      // A response to a former incarnation would be matched to an attempt of the current one.
       cluster.schedule(kServing, [this, &router, sent, life = router.logic.get()] {
         if (router.logic.get() == life) {
           answer(router, sent);
--- a/tests/services/limited_fleet.h
+++ b/tests/services/limited_fleet.h
@@ -11,29 +11,29 @@
 
 namespace ferryrock::services {
 
-/// Routers and members with replicas of the service "desk" that answer after a while, and may name limits.
-/// Calls come to random routers.
+/// A cell with real routers and replicas of the service "desk", which respond after 40 ms and may announce
+/// limits. Calls arrive at random routers.
 class LimitedFleet {
  public:
   LimitedFleet(std::size_t routers, std::size_t replicas, std::uint64_t seed);
 
   static std::string replicaName(std::size_t number) { return "r" + std::to_string(number); }
-  /// From now on the replica names this limit; nullopt: none.
+  /// Makes the replica announce this limit from now on; nullopt: no limit.
   void setLimit(std::size_t replica, std::optional<double> per_second);
-  /// Calls of all routers at this rate, for the time.
+  /// Runs the cell for the time with calls at this rate over all routers together.
   void callFor(Duration time, double calls_per_second);
   LimitOracle& oracle(std::size_t replica) { return oracles_[replicaName(replica)]; }
   std::uint64_t refused() const;
-  /// The router's sendings aren't counted from now on, for the time.
+  /// Excludes the router's calls from the limit checks for the time from now.
   void excuseRouter(std::size_t router, Duration time);
 
   ServiceCluster cluster;
   std::vector<RunningRouter*> routers;
-  /// Told when callers of refused calls may come back.
+  /// Retry-after times of the refused calls.
   std::vector<std::optional<Duration>> retry_after;
   std::map<ResultCode, std::size_t> refusals;
   std::size_t answered = 0;
-  Duration longest_refusal{};  ///< from a call's coming to its refusal
+  Duration longest_refusal{};  ///< maximum time from a call's arrival to its refusal
 
  private:
   static constexpr Duration kHop = std::chrono::milliseconds(1);
--- a/tests/services/proof_requests_test.cc
+++ b/tests/services/proof_requests_test.cc
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kStart{1000s};
 
-TEST_CASE("A request is answered once a majority has followed after it came") {
+TEST_CASE("A proof request is answerable only once a majority has followed the leader after its arrival") {
   ProofRequests requests;
   requests.add(NodeName("a"), 1, kStart);
   requests.add(NodeName("b"), 1, kStart + 5ms);
@@ -20,7 +20,7 @@
   CHECK(requests.empty());
 }
 
-TEST_CASE("A router that asks again keeps its place, and one that started again takes a new one") {
+TEST_CASE("A repeated request keeps its place in the queue, and one of a restarted router gets a new place") {
   ProofRequests requests;
   requests.add(NodeName("a"), 1, kStart);
   requests.add(NodeName("a"), 1, kStart + 50ms);
@@ -32,7 +32,7 @@
   CHECK(requests.empty());
 }
 
-/// Requests looked at when each router asks within a heartbeat and the leader looks after each message.
+/// Number of requests examined when all routers send one within a heartbeat and the leader scans after each.
 std::uint64_t examinedFor(std::size_t routers) {
   ProofRequests requests;
   for (std::size_t i = 0; i < routers; ++i) {
@@ -43,7 +43,7 @@
   return requests.examined();
 }
 
-TEST_CASE("Looking for requests that can be answered grows with the requests, not with their square") {
+TEST_CASE("The cost of scanning for answerable requests is linear in the requests, not quadratic") {
   constexpr std::uint64_t kRouters = 100;
   const std::uint64_t small = examinedFor(kRouters);
   CHECK(small <= 3 * kRouters);
--- a/tests/services/registry_test.cc
+++ b/tests/services/registry_test.cc
@@ -17,7 +17,7 @@
 
 constexpr TimePoint kStart{1000s};
 
-TEST_CASE("A report that was overtaken is dropped, its notice of leaving is not") {
+TEST_CASE("A reordered report is ignored, except for its leave notice") {
   ReplicaRegistry registry;
   CHECK(registry.accept(makeReport("r1", "desk", 5), kStart) == ReportNews::Changed);
   CHECK(registry.accept(makeReport("r1", "desk", 4), kStart) == ReportNews::Late);
@@ -29,7 +29,7 @@
   CHECK(registry.find(ReplicaId("r1"))->leaving);
 }
 
-TEST_CASE("A replica at a reused address replaces the one that stood there") {
+TEST_CASE("A new replica at a reused address replaces the former one") {
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 5), kStart);
   wire::ReplicaReport next = makeReport("r2", "llm", 1);
@@ -39,8 +39,9 @@
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
 }
 
-/// A heartbeat that was held up by a cut may come after its sender's successor has registered at the address.
-TEST_CASE("A late report of a replica that was replaced at its address changes nothing") {
+/// A heartbeat that a network partition delayed may arrive after its sender's successor has registered at the
+/// address.
+TEST_CASE("A late report of a replica that was replaced at its address is ignored") {
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 5), kStart);
   wire::ReplicaReport next = makeReport("r2", "desk", 1);
@@ -56,7 +57,7 @@
   CHECK_FALSE(registry.find(ReplicaId("r2"))->leaving);
 }
 
-TEST_CASE("A replica that was forgotten in a cut doesn't take its address back from a living successor") {
+TEST_CASE("A replica that expired in a partition doesn't take its address from a successor that is alive") {
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 5), kStart);
   registry.expire(kStart + 7s, 6s);
@@ -69,8 +70,8 @@
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
 }
 
-/// A member that started lately can't tell a held-up report from one of a new start.
-TEST_CASE("A living replica has its address back from a late report soon") {
+/// A member that started recently can't distinguish a delayed report from the first report of a new replica.
+TEST_CASE("A replica that is alive recovers its address after a late report of the former replica took it") {
   ReplicaRegistry registry;
   wire::ReplicaReport living = makeReport("r2", "desk", 1);
   living.address = "r1:80";
@@ -84,21 +85,21 @@
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
 }
 
-TEST_CASE("A replica that was forgotten and lives is taken up again") {
+TEST_CASE("A replica that expired is registered again when it reports") {
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 5), kStart);
   registry.expire(kStart + 7s, 6s);
   CHECK(registry.accept(makeReport("r1", "desk", 9), kStart + 8s) == ReportNews::Changed);
 }
 
-/// A replica's report in the life that began then.
+/// A report of the incarnation of replica "r1" that started at this time.
 wire::ReplicaReport reportOfLife(std::uint64_t born, std::uint64_t sequence) {
   wire::ReplicaReport report = makeReport("r1", "llm", sequence);
   report.id = wire::replicaLife("r1", born);
   return report;
 }
 
-TEST_CASE("A replica that starts again under its name is another one, with its count of reports anew") {
+TEST_CASE("A replica that restarts under its name starts without its former state and report sequence") {
   ReplicaRegistry registry;
   wire::ReplicaReport before = reportOfLife(1000, 40);
   before.held = {{ModelName("m0"), {}}};
@@ -117,8 +118,7 @@
   CHECK(removed == std::vector<ReplicaId>{before.id});
 }
 
-TEST_CASE(
-    "What comes late of a former life changes nothing, whatever its count, also after the next is lost") {
+TEST_CASE("Late reports of a former incarnation are ignored, even after its successor has expired") {
   ReplicaRegistry registry;
   registry.accept(reportOfLife(1000, 40), kStart);
   wire::ReplicaReport next = reportOfLife(2000, 1);
@@ -137,7 +137,7 @@
   CHECK(registry.accept(reportOfLife(2000, 2), kStart + 10s) == ReportNews::Changed);
 }
 
-TEST_CASE("A bare notice that a replica leaves means its present life") {
+TEST_CASE("A leave notice without a start time applies to the current incarnation only") {
   ReplicaRegistry registry;
   registry.accept(reportOfLife(1000, 40), kStart);
   registry.accept(reportOfLife(2000, 1), kStart);
@@ -150,7 +150,7 @@
   CHECK_FALSE(registry.find(wire::replicaLife("r1", 3000))->leaving);
 }
 
-TEST_CASE("A report of a service that isn't configured takes no address from a replica that is alive") {
+TEST_CASE("A report for an unconfigured service doesn't replace a replica that is alive at its address") {
   ReplicaRegistry registry;
   constexpr bool kConfigured = false;
   registry.accept(makeReport("r1", "desk", 5), kStart);
@@ -162,7 +162,7 @@
   CHECK(registry.accept(foreign, kStart + 1s, kConfigured) == ReportNews::Changed);
 }
 
-TEST_CASE("An adapter that was ordered shows at once; a model whose unload was ordered doesn't") {
+TEST_CASE("An ordered adapter is usable at once, and a model with an ordered unload is hidden at once") {
   ReplicaRegistry registry;
   wire::ReplicaReport report = makeReport("r1", "llm", 1);
   report.held = {{ModelName("m0"), {"a1"}}, {ModelName("m1"), {}}};
@@ -176,7 +176,7 @@
   CHECK(registry.find(report.id)->usable().size() == 2);
 }
 
-TEST_CASE("A router gets what changed since its revision, and the whole table across terms") {
+TEST_CASE("A router gets incremental updates within a term and a full table in another term") {
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 1), kStart);
   const wire::ServiceCatalog catalog = makeCatalog(3);
@@ -213,7 +213,7 @@
   CHECK(later.revision() > feed.revision());
 }
 
-TEST_CASE("What is on its way isn't sent again until it counts as lost or was reported missing") {
+TEST_CASE("An update in flight isn't sent again until it times out or is reported as missed") {
   UpdateLedger ledger;
   wire::CallRouterStatus status;
   status.router = NodeName("edge-1");
@@ -233,7 +233,7 @@
   CHECK(ledger.expected(status, kStart + 900ms).catalog.value == 0);
 }
 
-TEST_CASE("What some router in touch can't reach is known, until it or the router is heard otherwise") {
+TEST_CASE("A replica counts as unreachable until the router's report expires or is superseded") {
   RouterDirectory directory;
   wire::CallRouterStatus status;
   status.router = NodeName("edge-1");
@@ -253,7 +253,7 @@
   void (*spoil)(wire::ServiceCatalog&);
 };
 
-TEST_CASE("Callers are sent to routers of their own zone, and elsewhere only when those are few") {
+TEST_CASE("Callers get routers of their own zone, and of other zones only if their zone has too few") {
   constexpr std::size_t kLimit = 12;
   RouterDirectory directory;
   const auto tell = [&directory](const std::string& zone, std::size_t number) {
@@ -284,7 +284,7 @@
   CHECK(directory.addresses(ZoneName("unknown"), kStart, kLimit).size() == kLimit);
 }
 
-TEST_CASE("A catalog that contradicts itself is refused with its place") {
+TEST_CASE("An inconsistent catalog is rejected with the place of the violation and without any key") {
   const std::vector<InvalidCase> cases = {
       {"unknown service", [](wire::ServiceCatalog& c) { c.routes[0].targets[0].service = ServiceName("x"); }},
       {"no weight", [](wire::ServiceCatalog& c) { c.routes[0].targets[0].weight = 0; }},
@@ -317,9 +317,9 @@
   }
 }
 
-/// It would send an id with the life's start on as the instance that it expects, and be turned away
-/// everywhere.
-TEST_CASE("A router of the build without loads is told the names of replicas, without their lives") {
+/// A legacy router passes the replica id on as the expected instance, so that replicas would reject every
+/// call with an id that includes the incarnation's start time.
+TEST_CASE("A legacy router without support for incarnation ids gets plain replica names") {
   ReplicaRegistry registry;
   const auto report = [&registry](const char* name, std::uint64_t born) {
     wire::ReplicaReport told = makeReport("r1", "desk", 1);
@@ -336,7 +336,7 @@
   REQUIRE(whole.replicas.size() == 1);
   CHECK(whole.replicas.front().id == ReplicaId("r1"));
 
-  // The former life goes and the next one comes in one update: the name stays listed.
+  // One update removes the former incarnation and adds the next one: the name must stay listed.
   status.revision = whole.revision;
   report("r1", 2000);
   const wire::ServiceUpdate changed = feed.updateFor(status, {catalog, {}, 1, true, {}, 0});
--- a/tests/services/replica_limit_test.cc
+++ b/tests/services/replica_limit_test.cc
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("All routers together send a replica no more than it said that it takes") {
+TEST_CASE("All routers together don't exceed the call rate limit of a replica") {
   const auto seed = GENERATE(range(1, 5));
   INFO("seed " << seed);
   LimitedFleet fleet(9, 4, static_cast<std::uint64_t>(seed));
@@ -21,7 +21,9 @@
   CHECK(fleet.oracle(1).excess() <= 0);
 }
 
-TEST_CASE("Where all copies have limits, calls get what these allow and the others are sent away at once") {
+TEST_CASE(
+    "If all replicas have limits, nearly all of their capacity is used and excess calls are refused at "
+    "once") {
   LimitedFleet fleet(9, 2, 3);
   fleet.setLimit(0, 3);
   fleet.setLimit(1, 2);
@@ -40,7 +42,7 @@
   CHECK(fleet.longest_refusal < 50ms);
 }
 
-TEST_CASE("While another copy has no limit no call waits for credit or is refused") {
+TEST_CASE("No call waits for credit or is refused while another replica has no limit") {
   LimitedFleet fleet(9, 2, 4);
   fleet.setLimit(0, 1);
   fleet.callFor(15s, 16);
@@ -51,7 +53,7 @@
   }
 }
 
-TEST_CASE("A replica that ends its limit is used as before soon after") {
+TEST_CASE("A replica gets its full share of calls again soon after its limit ends") {
   LimitedFleet fleet(9, 4, 5);
   fleet.callFor(5s, 32);
   fleet.setLimit(0, 1);
@@ -63,7 +65,7 @@
   CHECK(fleet.oracle(0).arrivals(from, fleet.cluster.now()) > 20);
 }
 
-TEST_CASE("Routers that haven't heard of a limit themselves are told, and help the replica too") {
+TEST_CASE("A limit reaches routers that haven't observed it themselves") {
   LimitedFleet fleet(40, 4, 6);
   fleet.callFor(2s, 20);
   fleet.setLimit(0, 1);
@@ -73,7 +75,7 @@
   }
 }
 
-/// What happens to the fleet while calls come.
+/// An event in the fleet while calls arrive.
 struct LimitEvent {
   const char* name;
   void (*happen)(LimitedFleet& fleet);
@@ -117,13 +119,13 @@
 }
 void nothing(LimitedFleet&) {}
 
-TEST_CASE("A replica's limit holds over all routers whatever happens to members and routers") {
+TEST_CASE("A replica's limit holds over all routers during failures of members and routers") {
   const auto event = GENERATE(LimitEvent{"nothing", nothing}, LimitEvent{"the leader is killed", killLeader},
                               LimitEvent{"all members are killed", killAllMembers},
                               LimitEvent{"the leader freezes", freezeLeader},
                               LimitEvent{"half of the routers are cut off", cutRouters},
-                              LimitEvent{"a third of the routers start again", restartRouters},
-                              LimitEvent{"the limit goes lower and higher", changeLimits});
+                              LimitEvent{"a third of the routers restart", restartRouters},
+                              LimitEvent{"the limit changes several times", changeLimits});
   const auto routers = GENERATE(std::size_t{9}, std::size_t{60});
   const auto copies = GENERATE(std::size_t{1}, std::size_t{4});
   const auto seed = GENERATE(range(1, 4));
@@ -137,7 +139,7 @@
   CHECK(fleet.oracle(0).excess() <= 0);
 }
 
-TEST_CASE("What routers and members say of a limit doesn't grow with the routers") {
+TEST_CASE("The number of messages about a limit doesn't grow with the number of routers") {
   std::map<std::size_t, std::size_t> messages;
   for (const std::size_t routers : {std::size_t{20}, std::size_t{80}}) {
     LimitedFleet fleet(routers, 4, 8);
--- a/tests/services/service_control_test.cc
+++ b/tests/services/service_control_test.cc
@@ -6,7 +6,8 @@
 #include "services/service_cluster.h"
 #include "wire/replica_life.h"
 
-/// The cell of hosted services under faults: formation, durability, repair, drains, orders.
+/// A cell of control members under faults: formation, durability, membership repair, replica drains and
+/// orders.
 namespace ferryrock::services {
 namespace {
 
@@ -35,14 +36,14 @@
   ServiceCluster cluster;
 };
 
-TEST_CASE("Founders form a cell and processes that ask become voters up to twice the losses and one") {
+TEST_CASE("Joining processes become voters only until the cell tolerates the configured losses") {
   FullCell cell;
   cell.cluster.addMember("10.0.0.6:7000");
   cell.cluster.runFor(3s);
   CHECK(cell.voters() == 5);
 }
 
-TEST_CASE("An acknowledgement waits until enough disks hold the catalog") {
+TEST_CASE("A catalog isn't acknowledged before enough disks hold it") {
   ServiceCluster cluster(3, 2);
   REQUIRE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
   ServiceMember& leader = *cluster.leader();
@@ -54,7 +55,7 @@
   CHECK(ServiceCluster::codeOf(leader, question) == ResultCode::Ok);
 }
 
-TEST_CASE("An acknowledgement that can't become safe ends without a clear answer") {
+TEST_CASE("A catalog that never reaches enough disks gets NoQuorum, which leaves the outcome open") {
   ServiceCluster cluster(3, 2);
   REQUIRE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
   ServiceMember& leader = *cluster.leader();
@@ -63,7 +64,7 @@
   CHECK(ServiceCluster::codeOf(leader, question) == ResultCode::NoQuorum);
 }
 
-TEST_CASE("What was acknowledged outlives two emptied disks together with a loss of power of all others") {
+TEST_CASE("Acknowledged catalogs survive the loss of two disks during a power loss of all members") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
     FullCell cell(seed);
@@ -85,7 +86,7 @@
   }
 }
 
-TEST_CASE("A member with an emptied disk comes back under a new identity, and a second loss loses nothing") {
+TEST_CASE("A member with a lost disk rejoins under a new identity, and further disk losses are tolerated") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(4));
   ServiceMember& lost = cell.follower();
@@ -99,7 +100,9 @@
   CHECK(cell.cluster.readConfirmed() == "catalog 4");
 }
 
-TEST_CASE("After a loss of all power a leader is there at once, with the replicas that reported meanwhile") {
+TEST_CASE(
+    "After a power loss of the cell a leader is elected at once and knows the replicas that reported before "
+    "the election") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
     FullCell cell(seed);
@@ -127,7 +130,7 @@
   }
 }
 
-TEST_CASE("A silent voter gives its place to a newcomer, and only then") {
+TEST_CASE("A silent voter is replaced only once a joining process is available") {
   FullCell cell;
   ServiceMember& gone = cell.follower();
   cell.cluster.kill(gone);
@@ -140,7 +143,7 @@
   CHECK(std::find(peers.begin(), peers.end(), successor.node) != peers.end());
 }
 
-TEST_CASE("A member that was cut off answers no read and acknowledges nothing") {
+TEST_CASE("A leader that is cut off confirms no reads and acknowledges no changes or reports") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(1));
   ServiceMember& old_leader = *cell.cluster.leader();
@@ -158,7 +161,7 @@
   CHECK(cell.cluster.readConfirmed() == "catalog 1");
 }
 
-TEST_CASE("A lower or equal version is acknowledged and changes nothing; an invalid one is refused") {
+TEST_CASE("A lower or equal catalog version is acknowledged without effect, and an invalid one is rejected") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(7));
   ServiceMember& leader = *cell.cluster.leader();
@@ -176,7 +179,7 @@
   CHECK(cell.cluster.readConfirmed() == "catalog 7");
 }
 
-TEST_CASE("An accepted catalog reaches every router at once and never goes back, across leaders") {
+TEST_CASE("An acknowledged catalog reaches routers at once, and no change of leader reverts it") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(1s);
@@ -189,7 +192,7 @@
   CHECK(router.versions == std::vector<CatalogVersion>{CatalogVersion{1}, CatalogVersion{2}});
 }
 
-TEST_CASE("Statuses out of turn of a router that holds everything are not answered one by one") {
+TEST_CASE("Extra statuses of a router that is up to date don't trigger an update each") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   REQUIRE(cell.cluster.replaceAcknowledged(2));
@@ -210,7 +213,7 @@
   CHECK(router.updates - before_waiting >= 10);
 }
 
-TEST_CASE("A member that doesn't lead names the leader") {
+TEST_CASE("A follower rejects a change with the address of the leader") {
   FullCell cell;
   ServiceMember& follower = cell.follower();
   const std::uint64_t question = cell.cluster.replace(follower, 5);
@@ -219,7 +222,7 @@
   CHECK(follower.answers[question].leader == cell.cluster.leader()->node.value);
 }
 
-TEST_CASE("A notice of leaving is acknowledged once every router in touch has it, whoever was told") {
+TEST_CASE("A leave notice sent to a follower is acknowledged only once every router in contact applied it") {
   FullCell cell;
   ScriptedRouter& quick = cell.cluster.addRouter("edge-1");
   ScriptedRouter& slow = cell.cluster.addRouter("edge-2");
@@ -245,7 +248,7 @@
   CHECK(ServiceCluster::codeOf(told, late) == ResultCode::Ok);
 }
 
-TEST_CASE("A router out of touch holds no notice up, and a leader cut off from the routers binds nothing") {
+TEST_CASE("A router out of contact doesn't block a leave notice, and a leader that is cut off binds none") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(2s);
@@ -266,7 +269,7 @@
   CHECK(ServiceCluster::codeOf(leader, cut) != ResultCode::Ok);
 }
 
-TEST_CASE("A notice outlives the leader and the registry: no later heartbeat takes it back") {
+TEST_CASE("No later heartbeat revokes an acknowledged leave notice, even after all members restarted") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(2s);
@@ -289,9 +292,9 @@
   CHECK_FALSE(router.replicas.at(ReplicaId("r1")).accepting);
 }
 
-/// The two lives are told to different members, and the leader is lost between them.
+/// The two incarnations report to different members, and the leader crashes in between.
 TEST_CASE(
-    "A replica that starts again under its name serves anew, whatever its former life told, and to whom") {
+    "A replica that restarts under its name isn't affected by the leave notice of its former incarnation") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(2s);
@@ -323,7 +326,8 @@
   CHECK(running.logic->knownReplicas() == 1);
 }
 
-/// How often each member is named for the next report, over replicas 1 to count that report to the leader.
+/// Number of replicas that each member is assigned for the next report, when replicas 1 to `count` report to
+/// the leader.
 std::map<std::string, std::size_t> nextMembers(FullCell& cell, std::size_t count, std::uint64_t sequence) {
   std::map<std::string, std::size_t> named;
   ServiceMember& leader = *cell.cluster.leader();
@@ -335,11 +339,11 @@
   return named;
 }
 
-TEST_CASE("A few replicas report to the leader, many of them to all other members that serve") {
+TEST_CASE("Few replicas report to the leader, and many are distributed evenly over the live followers") {
   constexpr std::size_t kFew = 300;
   constexpr std::size_t kMany = 1500;
   FullCell cell;
-  cell.cluster.runFor(1s);  // until the last that joined have said hello as members
+  cell.cluster.runFor(1s);  // until the members that joined last have sent a hello as members
   const std::string leader = cell.cluster.leader()->node.value;
   CHECK(nextMembers(cell, kFew, 1) == std::map<std::string, std::size_t>{{leader, kFew}});
   nextMembers(cell, kMany, 2);
@@ -360,7 +364,7 @@
   CHECK_FALSE(nextMembers(cell, kMany, 5).contains(follower.node.value));
 }
 
-TEST_CASE("A new leader that has heard of no replica yet takes none away from the routers") {
+TEST_CASE("A new leader without replica reports doesn't remove replicas from the routers") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(1s);
@@ -377,7 +381,7 @@
   CHECK(router.replicas.size() == 1);
 }
 
-TEST_CASE("Routers that report are offered to callers by every member, those that stop are not") {
+TEST_CASE("Every member offers accepting routers to callers, and no router that is stopping") {
   FullCell cell;
   cell.cluster.addRouter("edge-1");
   ScriptedRouter& stopping = cell.cluster.addRouter("edge-2");
@@ -389,7 +393,7 @@
         std::vector<std::string>{"edge-1:80"});
 }
 
-TEST_CASE("A new leader orders nothing before an earlier one's lease is over, and one leads at a time") {
+TEST_CASE("A new leader sends no orders before the order lease of the former leader has expired") {
   FullCell cell;
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   REQUIRE(cell.cluster.replaceAcknowledged(1));
@@ -424,7 +428,7 @@
   }
 }
 
-TEST_CASE("A leader whose disk is full lets another lead, and takes part again once there is room") {
+TEST_CASE("A leader with a full disk transfers its leadership, and catches up once there is space") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(2));
   ServiceMember& full = *cell.cluster.leader();
@@ -442,7 +446,7 @@
   CHECK(ServiceCluster::codeOf(full, question).has_value());
 }
 
-TEST_CASE("A leader whose syncs hang lets another lead") {
+TEST_CASE("A leader whose disk syncs hang transfers its leadership") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(2));
   ServiceMember& slow = *cell.cluster.leader();
@@ -454,7 +458,7 @@
   CHECK(cell.cluster.leader() != &slow);
 }
 
-TEST_CASE("Full disks of two members lose nothing, and they catch up") {
+TEST_CASE("Two followers with full disks don't block commits, and catch up once there is space") {
   FullCell cell;
   REQUIRE(cell.cluster.replaceAcknowledged(2));
   ServiceMember& first = cell.follower(0);
--- a/tests/services/subscribed_fleet.h
+++ b/tests/services/subscribed_fleet.h
@@ -11,10 +11,10 @@
 namespace ferryrock::services {
 
 inline constexpr std::size_t kModels = 40;
-inline constexpr std::size_t kPlainShare = 20;  ///< one replica in so many is of the plain service
+inline constexpr std::size_t kPlainShare = 20;  ///< one replica in this many is of the plain service
 
-/// Replicas of models, with a few of a plain service among them, that report each second to the member that
-/// they are shared out to, and routers of the product.
+/// A cell with real routers, replicas with models, and a few replicas of a plain service without models.
+/// Replicas report every second, distributed over the members.
 struct SubscribedFleet {
   SubscribedFleet(std::size_t router_count, std::size_t replica_count, std::size_t members = 3)
       : cluster(members, 1) {
@@ -75,7 +75,7 @@
     }
     cluster.schedule(std::chrono::seconds(1), [this, number] { beat(number); });
   }
-  /// A call for the model, or for the plain service, at the router.
+  /// Sends a call for the model to the router; an empty model: a call for the plain service.
   void call(RunningRouter& router, const std::string& model) {
     calls::CallRequest request;
     request.number = calls::CallNumber{++router.calls};
--- a/tests/services/subscription_test.cc
+++ b/tests/services/subscription_test.cc
@@ -7,19 +7,19 @@
 
 #include "services/subscribed_fleet.h"
 
-/// What a cell sends to routers of a fleet too large to tell each of them every replica: counted at two
-/// sizes, so that what grows as routers x replicas shows.
+/// Updates of a cell to routers in a fleet that is too large to send every replica to every router. Entries
+/// are counted at several fleet sizes to detect growth as routers x replicas.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-TEST_CASE("What routers are told grows with the routers, not with routers x replicas") {
+TEST_CASE("The replica entries sent to routers grow with the routers, not with routers x replicas") {
   constexpr std::size_t kRouters = 24;
   const auto entriesFor = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
     fleet.cluster.entries_sent = 0;
-    fleet.cluster.kill(*fleet.cluster.leader());  // the next leader owes all routers their tables
+    fleet.cluster.kill(*fleet.cluster.leader());  // the next leader has to send tables to all routers
     for (RunningRouter* router : fleet.routers) {
       fleet.call(*router, "m1");
     }
@@ -36,7 +36,7 @@
   CHECK(small <= kRouters * 100);
 }
 
-TEST_CASE("A call for a model that its router doesn't know of is served within a round trip and a round") {
+TEST_CASE("A call for a model that its router has no replica of is sent within 60 ms") {
   SubscribedFleet fleet(20, 600);
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"m1", "m7", "m39"}) {
@@ -50,7 +50,7 @@
   CHECK(fleet.refused() == 0);
 }
 
-TEST_CASE("Calls of all routers use all replicas of a service without models") {
+TEST_CASE("Calls of all routers are distributed over all replicas of a service without models") {
   constexpr std::size_t kRouters = 40;
   constexpr std::size_t kReplicas = 600;
   constexpr std::size_t kCallsEach = 20;
@@ -73,7 +73,7 @@
   CHECK(busiest <= 3 * kRouters * kCallsEach / kPlain);
 }
 
-TEST_CASE("Notices of many replicas bind soon, and no router sends to a replica whose notice has bound") {
+TEST_CASE("Leave notices of many replicas bind in time, and no router sends calls there afterwards") {
   SubscribedFleet fleet(40, 800);
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"m1", "m2", "m3"}) {
@@ -109,10 +109,9 @@
   }
 }
 
-TEST_CASE(
-    "A notice doesn't wait for the regular statuses of routers, whenever it comes between two of them") {
+TEST_CASE("A leave notice doesn't wait for the next regular status of each router") {
   constexpr std::size_t kReplicas = 600;
-  constexpr Duration kSooner = 150ms;  // routers tell their status each 250 ms
+  constexpr Duration kSooner = 150ms;  // routers report their status every 250 ms
   SubscribedFleet fleet(40, kReplicas);
   fleet.cluster.runFor(2s);
   ServiceMember& leader = *fleet.cluster.leader();
@@ -123,7 +122,7 @@
   std::size_t late = 0;
   std::size_t noticed = 0;
   for (std::size_t number = 0; number + kPlainShare < kReplicas; number += 2 * kPlainShare) {
-    // The second comes while the round of updates for the first keeps the next one waiting.
+    // The second notice arrives during the pause after the round of updates for the first.
     const std::uint64_t first = give(number);
     fleet.cluster.runFor(6ms);
     const std::uint64_t second = give(number + kPlainShare);
@@ -138,7 +137,8 @@
   CHECK(late == 0);
 }
 
-TEST_CASE("A router that may use a leaving replica and is silent holds the notice up; others don't") {
+TEST_CASE(
+    "A leave notice waits only for silent routers that may use the replica, until they are out of contact") {
   SubscribedFleet fleet(20, 600);
   RunningRouter& user = *fleet.routers.front();
   fleet.call(user, "m1");
@@ -152,7 +152,7 @@
   const std::uint64_t held_up = fleet.cluster.report(leader, fleet.reportOf(number));
   fleet.cluster.runFor(900ms);
   CHECK(ServiceCluster::codeOf(leader, held_up) == ResultCode::NotBoundEverywhere);
-  // Of a router that is out of touch nothing is expected.
+  // A router that is out of contact doesn't block the notice.
   fleet.cluster.runFor(3s);
   const std::uint64_t free = fleet.cluster.report(leader, fleet.reportOf(number));
   fleet.cluster.runFor(900ms);
@@ -167,7 +167,7 @@
   CHECK(fleet.sent_to[ReplicaId(used)] == 0);
 }
 
-TEST_CASE("Calls go on through the loss of the leader, and the next one knows every replica") {
+TEST_CASE("No call is refused during a change of leader, and the new leader knows every replica") {
   SubscribedFleet fleet(20, 600);
   const auto callAll = [&fleet] {
     for (RunningRouter* router : fleet.routers) {
@@ -192,7 +192,7 @@
   CHECK(fleet.refused() == 0);
 }
 
-TEST_CASE("Of a sign of life the leader hears, and other members of one in sixteen") {
+TEST_CASE("Unchanged reports are relayed to the leader, and only one in sixteen to the other members") {
   constexpr std::size_t kReplicas = 600;
   constexpr std::size_t kSeconds = 10;
   const auto livesTold = [=](std::size_t members) {
--- a/tests/services/update_queue_test.cc
+++ b/tests/services/update_queue_test.cc
@@ -5,7 +5,7 @@
 namespace ferryrock::services {
 namespace {
 
-TEST_CASE("Routers are told in the order in which they came to be owed an update, each once") {
+TEST_CASE("Routers are taken in the order in which they were added, without duplicates") {
   UpdateQueue queue;
   queue.add(NodeName("b"));
   queue.add(NodeName("a"));
@@ -19,7 +19,7 @@
   CHECK(queue.empty());
 }
 
-TEST_CASE("A router that was told otherwise is passed over") {
+TEST_CASE("A router that was removed from the queue is skipped") {
   UpdateQueue queue;
   queue.add(NodeName("a"));
   queue.add(NodeName("b"));
