--- a/src/services/catalog_spread.cc
+++ b/src/services/catalog_spread.cc
@@ -4,55 +4,55 @@
 namespace {
 
 /// Minimum time between two scans of the routers; a large fleet has some 300 of them.
-constexpr Duration kLookInterval = std::chrono::milliseconds(50);
+constexpr Duration kScanInterval = std::chrono::milliseconds(50);
 /// Time between two reports of routers that are behind, and before the first report.
-constexpr Duration kWordInterval = std::chrono::seconds(1);
+constexpr Duration kReportInterval = std::chrono::seconds(1);
 
 }  // namespace
 
-std::optional<CatalogSpreadEffect> CatalogSpread::look(CatalogVersion version,
-                                                       const std::map<NodeName, RouterRecord>& routers,
-                                                       TimePoint now) {
+std::optional<CatalogSpreadEffect> CatalogRollout::poll(CatalogVersion version,
+                                                        const std::map<NodeName, RouterRecord>& routers,
+                                                        TimePoint now) {
   if (version > version_) {
     version_ = version;
-    since_ = now;
-    everywhere_ = false;
-    next_look_ = now;
-    next_word_ = now + kWordInterval;
+    learned_at_ = now;
+    complete_ = false;
+    next_scan_ = now;
+    next_report_ = now + kReportInterval;
   }
-  if (everywhere_ || now < next_look_) {
+  if (complete_ || now < next_scan_) {
     return std::nullopt;
   }
-  next_look_ = now + kLookInterval;
-  const CatalogSpreadEffect spread = count(routers, now);
-  everywhere_ = spread.behind == 0;
-  if (!everywhere_ && now < next_word_) {
+  next_scan_ = now + kScanInterval;
+  const CatalogSpreadEffect state = count(routers, now);
+  complete_ = state.behind == 0;
+  if (!complete_ && now < next_report_) {
     return std::nullopt;
   }
-  next_word_ = now + kWordInterval;
-  return spread;
+  next_report_ = now + kReportInterval;
+  return state;
 }
 
-CatalogSpreadEffect CatalogSpread::count(const std::map<NodeName, RouterRecord>& routers,
-                                         TimePoint now) const {
-  CatalogSpreadEffect spread;
-  spread.version = version_;
-  spread.since = now - since_;
+CatalogSpreadEffect CatalogRollout::count(const std::map<NodeName, RouterRecord>& routers,
+                                          TimePoint now) const {
+  CatalogSpreadEffect state;
+  state.version = version_;
+  state.since = now - learned_at_;
   for (const auto& [name, record] : routers) {
-    if (now - record.heard > out_of_touch_) {
+    if (now - record.last_contact > contact_timeout_) {
       continue;
     }
-    ++spread.routers;
+    ++state.routers;
     if (record.status.catalog >= version_) {
       continue;
     }
-    if (++spread.behind == 1) {
-      spread.router = name;
-      spread.held = record.status.catalog;
-      spread.silent = now - record.heard;
+    if (++state.behind == 1) {
+      state.router = name;
+      state.held = record.status.catalog;
+      state.silent = now - record.last_contact;
     }
   }
-  return spread;
+  return state;
 }
 
 }  // namespace ferryrock::services
--- a/src/services/catalog_spread.h
+++ b/src/services/catalog_spread.h
@@ -24,26 +24,26 @@
 
 /// Tracks the rollout of one leader's newest catalog until it is in force at every router in contact. Used by
 /// one thread.
-class CatalogSpread {
+class CatalogRollout {
  public:
-  /// out_of_touch: routers whose last status is older than this are excluded from the rollout.
-  explicit CatalogSpread(Duration out_of_touch) : out_of_touch_(out_of_touch) {}
+  /// contact_timeout: routers whose last status is older than this are excluded from the rollout.
+  explicit CatalogRollout(Duration contact_timeout) : contact_timeout_(contact_timeout) {}
 
   /// Returns a state to report: once when the version is in force at all routers in contact, and once a
   /// second until then. Scans the routers at most every 50 ms, and stops scanning once the rollout is
   /// complete.
-  std::optional<CatalogSpreadEffect> look(CatalogVersion version,
+  std::optional<CatalogSpreadEffect> poll(CatalogVersion version,
                                           const std::map<NodeName, RouterRecord>& routers, TimePoint now);
 
  private:
   CatalogSpreadEffect count(const std::map<NodeName, RouterRecord>& routers, TimePoint now) const;
 
-  Duration out_of_touch_;
+  Duration contact_timeout_;
   CatalogVersion version_;
-  TimePoint since_{};
-  bool everywhere_ = true;
-  TimePoint next_look_{};
-  TimePoint next_word_{};
+  TimePoint learned_at_{};
+  bool complete_ = true;
+  TimePoint next_scan_{};
+  TimePoint next_report_{};
 };
 
 }  // namespace ferryrock::services
--- a/src/services/cell_keeper.cc
+++ b/src/services/cell_keeper.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A process counts as alive for this long after its last hello.
-constexpr Duration kHelloLasts = std::chrono::seconds(2);
+constexpr Duration kHelloTtl = std::chrono::seconds(2);
 
 control::MembershipChange change(control::MembershipAction action, const wire::Member& member) {
   return {action, member};
@@ -28,7 +28,7 @@
 std::vector<std::string> CellKeeper::servingMembers(const wire::Membership& membership, TimePoint now) const {
   std::vector<std::string> addresses;
   for (const auto& [node, contact] : contacts_) {
-    const bool current = contact.hello.has_leader && now - contact.heard < kHelloLasts;
+    const bool current = contact.hello.has_leader && now - contact.last_contact < kHelloTtl;
     if (current && consensus::findMember(membership, contact.hello.id) != nullptr) {
       addresses.push_back(contact.hello.http);
     }
@@ -38,31 +38,31 @@
 
 Duration CellKeeper::silence(const wire::Member& member, TimePoint now) const {
   const auto contact = contacts_.find(member.node);
-  const bool heard = contact != contacts_.end() && contact->second.hello.id == member.id;
-  return now - (heard ? std::max(contact->second.heard, started_) : started_);
+  const bool received = contact != contacts_.end() && contact->second.hello.id == member.id;
+  return now - (received ? std::max(contact->second.last_contact, observing_since_) : observing_since_);
 }
 
 std::optional<control::MembershipChange> CellKeeper::nextChange(const wire::Membership& membership,
                                                                 MemberId self, TimePoint now) const {
-  if (auto lost = replaceLostDisk(membership, now)) {
+  if (auto lost = removeMemberWithLostDisk(membership, now)) {
     return lost;
   }
-  if (auto learner = useLearner(membership, self, now)) {
+  if (auto learner = adjustVoters(membership, self, now)) {
     return learner;
   }
-  if (auto newcomer = admitNewcomer(membership, now)) {
+  if (auto newcomer = addJoiningLearner(membership, now)) {
     return newcomer;
   }
-  return dropSilentLearner(membership, now);
+  return removeSilentLearner(membership, now);
 }
 
 /// A process that has a member's node name but another identity has lost its disk: the identity is stored
 /// there.
-std::optional<control::MembershipChange> CellKeeper::replaceLostDisk(const wire::Membership& membership,
-                                                                     TimePoint now) const {
+std::optional<control::MembershipChange> CellKeeper::removeMemberWithLostDisk(
+    const wire::Membership& membership, TimePoint now) const {
   for (const auto& [node, contact] : contacts_) {
     const wire::Member* member = consensus::findNode(membership, node);
-    const bool current = now - contact.heard < kHelloLasts;
+    const bool current = now - contact.last_contact < kHelloTtl;
     if (current && member != nullptr && member->id != contact.hello.id) {
       return change(control::MembershipAction::Remove, *member);
     }
@@ -70,11 +70,11 @@
   return std::nullopt;
 }
 
-std::optional<control::MembershipChange> CellKeeper::admitNewcomer(const wire::Membership& membership,
-                                                                   TimePoint now) const {
+std::optional<control::MembershipChange> CellKeeper::addJoiningLearner(const wire::Membership& membership,
+                                                                       TimePoint now) const {
   for (const auto& [node, contact] : contacts_) {
     const bool known = consensus::findMember(membership, contact.hello.id) != nullptr;
-    if (!known && now - contact.heard < kHelloLasts) {
+    if (!known && now - contact.last_contact < kHelloTtl) {
       wire::Member member;
       member.id = contact.hello.id;
       member.node = node;
@@ -88,33 +88,33 @@
 
 /// Promotes a learner before the silent voter that it replaces is removed: promotion requires that the
 /// learner has caught up, so a voter is only removed once a replacement holds the log.
-std::optional<control::MembershipChange> CellKeeper::useLearner(const wire::Membership& membership,
-                                                                MemberId self, TimePoint now) const {
+std::optional<control::MembershipChange> CellKeeper::adjustVoters(const wire::Membership& membership,
+                                                                  MemberId self, TimePoint now) const {
   const wire::Member* learner = nullptr;
   const wire::Member* silent_voter = nullptr;
   for (const wire::Member& member : membership.members) {
-    const Duration quiet = silence(member, now);
-    if (!member.voter && quiet < kHelloLasts) {
+    const Duration silent_for = silence(member, now);
+    if (!member.voter && silent_for < kHelloTtl) {
       learner = &member;
-    } else if (member.voter && member.id != self && quiet > settings_.replaced_after) {
+    } else if (member.voter && member.id != self && silent_for > settings_.voter_timeout) {
       silent_voter = &member;
     }
   }
   const std::size_t voters = consensus::voterCount(membership);
-  if (silent_voter != nullptr && voters > settings_.wanted_voters) {
+  if (silent_voter != nullptr && voters > settings_.target_voters) {
     return change(control::MembershipAction::Remove, *silent_voter);
   }
-  const bool vacancy = voters < settings_.wanted_voters || silent_voter != nullptr;
+  const bool vacancy = voters < settings_.target_voters || silent_voter != nullptr;
   if (learner != nullptr && vacancy) {
     return change(control::MembershipAction::Promote, *learner);
   }
   return std::nullopt;
 }
 
-std::optional<control::MembershipChange> CellKeeper::dropSilentLearner(const wire::Membership& membership,
-                                                                       TimePoint now) const {
+std::optional<control::MembershipChange> CellKeeper::removeSilentLearner(const wire::Membership& membership,
+                                                                         TimePoint now) const {
   for (const wire::Member& member : membership.members) {
-    if (!member.voter && silence(member, now) > settings_.learner_dropped_after) {
+    if (!member.voter && silence(member, now) > settings_.learner_timeout) {
       return change(control::MembershipAction::Remove, member);
     }
   }
--- a/src/services/cell_keeper.h
+++ b/src/services/cell_keeper.h
@@ -10,13 +10,13 @@
 
 namespace ferryrock::services {
 
-struct CellKeeperSettings {
+struct CellMembershipSettings {
   /// Target number of voters: 2 x (tolerated disk losses) + 1.
-  std::size_t wanted_voters = 3;
+  std::size_t target_voters = 3;
   /// A voter without a hello for longer than this is replaced by a learner that has caught up.
-  Duration replaced_after = std::chrono::seconds(5);
+  Duration voter_timeout = std::chrono::seconds(5);
   /// A learner without a hello for longer than this is removed.
-  Duration learner_dropped_after = std::chrono::seconds(10);
+  Duration learner_timeout = std::chrono::seconds(10);
 };
 
 /// Decides which membership change the cell needs next: processes that request to join are added as learners,
@@ -24,12 +24,13 @@
 /// or when it is silent and a learner is available. One change at a time. Used by one thread.
 class CellKeeper {
  public:
-  CellKeeper(const CellKeeperSettings& settings, TimePoint now) : settings_(settings), started_(now) {}
+  CellKeeper(const CellMembershipSettings& settings, TimePoint now)
+      : settings_(settings), observing_since_(now) {}
 
   void onHello(const wire::MemberHello& hello, TimePoint now);
   /// Called when this member becomes leader. Hellos received earlier may be outdated, so silence is measured
   /// from `now` at the earliest.
-  void onLeadership(TimePoint now) { started_ = now; }
+  void onLeadership(TimePoint now) { observing_since_ = now; }
   /// Returns the next membership change to propose; nullopt: none.
   std::optional<control::MembershipChange> nextChange(const wire::Membership& membership, MemberId self,
                                                       TimePoint now) const;
@@ -42,21 +43,21 @@
  private:
   struct Contact {
     wire::MemberHello hello;
-    TimePoint heard{};
+    TimePoint last_contact{};
   };
 
   Duration silence(const wire::Member& member, TimePoint now) const;
-  std::optional<control::MembershipChange> replaceLostDisk(const wire::Membership& membership,
-                                                           TimePoint now) const;
-  std::optional<control::MembershipChange> admitNewcomer(const wire::Membership& membership,
-                                                         TimePoint now) const;
-  std::optional<control::MembershipChange> useLearner(const wire::Membership& membership, MemberId self,
-                                                      TimePoint now) const;
-  std::optional<control::MembershipChange> dropSilentLearner(const wire::Membership& membership,
+  std::optional<control::MembershipChange> removeMemberWithLostDisk(const wire::Membership& membership,
+                                                                    TimePoint now) const;
+  std::optional<control::MembershipChange> addJoiningLearner(const wire::Membership& membership,
                                                              TimePoint now) const;
+  std::optional<control::MembershipChange> adjustVoters(const wire::Membership& membership, MemberId self,
+                                                        TimePoint now) const;
+  std::optional<control::MembershipChange> removeSilentLearner(const wire::Membership& membership,
+                                                               TimePoint now) const;
 
-  CellKeeperSettings settings_;
-  TimePoint started_;
+  CellMembershipSettings settings_;
+  TimePoint observing_since_;
   std::map<NodeName, Contact> contacts_;
 };
 
--- a/src/services/leave_notices.h
+++ b/src/services/leave_notices.h
@@ -13,9 +13,9 @@
 /// Origin of a leave notice, which is answered once the notice binds: a request to this member itself, or a
 /// request that another member forwarded.
 struct NoticeOrigin {
-  std::optional<std::uint64_t> question;  ///< request to this member; nullopt: forwarded
-  NodeName member;                        ///< member that forwarded the request
-  std::uint64_t number = 0;               ///< number of the request at that member
+  std::optional<std::uint64_t> local_request;  ///< request to this member; nullopt: forwarded
+  NodeName member;                             ///< member that forwarded the request
+  std::uint64_t number = 0;                    ///< number of the request at that member
 };
 
 /// Notice that a replica stops taking new calls. It binds once no router in contact may send new calls there.
@@ -23,10 +23,10 @@
   NoticeOrigin origin;
   ReplicaId replica;
   TimePoint deadline{};
-  std::optional<LogIndex> revision;  ///< revision that routers must hold; set once the notice is committed
-  std::uint64_t closing = 0;         ///< RouterTables::closings() when the revision was set
-  bool confirming = false;           ///< a quorum read that confirms this member's leadership is pending
-  std::uint64_t read = 0;            ///< id of that quorum read
+  std::optional<LogIndex> revision;   ///< revision that routers must hold; set once the notice is committed
+  std::uint64_t closing_count = 0;    ///< RouterTables::closings() when the revision was set
+  bool confirmation_pending = false;  ///< a quorum read that confirms this member's leadership is pending
+  std::uint64_t read = 0;             ///< id of that quorum read
 };
 
 /// Pending leave notices of replicas; a notice is removed when it binds or its deadline passes. Used by one
--- a/src/services/limit_ledger.cc
+++ b/src/services/limit_ledger.cc
@@ -10,23 +10,23 @@
 
 /// Burst size: an account accumulates credit for this many calls, or for this time at its rate if that is
 /// more. Calls that arrive together at several routers thus needn't be spaced at the rate of the limit.
-constexpr double kLeastBurst = 1;
+constexpr double kMinBurst = 1;
 constexpr double kBurstSeconds = 0.25;
 /// Upper bound on the wait of a call that is granted credit in advance, and on the wait times announced to
 /// refused callers beyond the next available credit.
-constexpr Duration kLongestPromise = 5s;
+constexpr Duration kMaxGrantWait = 5s;
 /// Routers receive a new rate only if it differs from the published one by this factor, and at most once per
 /// interval. Only the ledger needs the exact rate.
-constexpr double kToldFactor = 1.25;
-constexpr Duration kToldInterval = 1s;
+constexpr double kPublishFactor = 1.25;
+constexpr Duration kMinPublishInterval = 1s;
 /// Retention of a limit that has ended, so that late reports of routers that observed it earlier don't revive
 /// it.
-constexpr Duration kEndRemembered = 60s;
-constexpr std::size_t kMostAccounts = 10'000;
-constexpr std::size_t kMostRequesters = 10'000;
+constexpr Duration kEndedLimitRetention = 60s;
+constexpr std::size_t kMaxAccounts = 10'000;
+constexpr std::size_t kMaxRequesters = 10'000;
 
-bool differs(double told, double per_second) {
-  return per_second > told * kToldFactor || per_second * kToldFactor < told;
+bool differs(double published, double per_second) {
+  return per_second > published * kPublishFactor || per_second * kPublishFactor < published;
 }
 
 Duration secondsToDuration(double seconds) {
@@ -38,31 +38,31 @@
 wire::LimitReply LimitLedger::accept(const wire::LimitRequest& request, TimePoint now) {
   wire::LimitReply reply;
   reply.incarnation = request.incarnation;
-  if (!isNew(request)) {
+  if (!acceptSequence(request)) {
     return reply;
   }
   for (const wire::HeardLimit& heard : request.heard) {
     const TimePoint at = now - std::chrono::milliseconds(std::max<std::int64_t>(0, heard.age_ms));
     if (heard.calls_per_second) {
-      name(heard.replica, *heard.calls_per_second, at, now);
+      observeLimit(heard.replica, *heard.calls_per_second, at, now);
     } else {
-      end(heard.replica, at);
+      observeNoLimit(heard.replica, at);
     }
   }
   for (const ReplicaId& replica : request.returned) {
     giveBack(replica, now);
   }
   for (const wire::LimitAsk& ask : request.asks) {
-    name(ask.replica, ask.calls_per_second,
-         now - std::chrono::milliseconds(std::max<std::int64_t>(0, ask.age_ms)), now);
+    observeLimit(ask.replica, ask.calls_per_second,
+                 now - std::chrono::milliseconds(std::max<std::int64_t>(0, ask.age_ms)), now);
     reply.decisions.push_back(decide(ask, now));
   }
   return reply;
 }
 
 /// Rejects duplicate and reordered messages: processing a message twice would charge and return credit twice.
-bool LimitLedger::isNew(const wire::LimitRequest& request) {
-  if (requesters_.size() >= kMostRequesters && !requesters_.contains(request.router)) {
+bool LimitLedger::acceptSequence(const wire::LimitRequest& request) {
+  if (requesters_.size() >= kMaxRequesters && !requesters_.contains(request.router)) {
     requesters_.clear();
   }
   Requester& known = requesters_[request.router];
@@ -73,7 +73,7 @@
   return true;
 }
 
-void LimitLedger::name(const ReplicaId& replica, double per_second, TimePoint at, TimePoint now) {
+void LimitLedger::observeLimit(const ReplicaId& replica, double per_second, TimePoint at, TimePoint now) {
   if (!std::isfinite(per_second) || per_second < 0) {
     return;
   }
@@ -86,31 +86,31 @@
     account.ended.reset();
     account.per_second = per_second;
     account.credit = 0;
-    account.credited = now;
-    account.named = at;
-  } else if (at > account.named) {
+    account.refilled_at = now;
+    account.observed_at = at;
+  } else if (at > account.observed_at) {
     refill(account, now);
     account.per_second = per_second;
-    account.named = at;
+    account.observed_at = at;
   }
-  const bool changed = account.told && differs(*account.told, account.per_second);
-  if (!account.told || (changed && now - account.told_at >= kToldInterval)) {
-    account.told = account.per_second;
-    account.told_at = now;
+  const bool changed = account.published && differs(*account.published, account.per_second);
+  if (!account.published || (changed && now - account.published_at >= kMinPublishInterval)) {
+    account.published = account.per_second;
+    account.published_at = now;
     changed_.push_back(replica);
   }
-  keepBounded();
+  evictOldest();
 }
 
 /// `sent` is the time at which the call was sent whose response carries no limit. The response supersedes the
 /// limit only if the call was sent after the limit was last observed.
-void LimitLedger::end(const ReplicaId& replica, TimePoint sent) {
+void LimitLedger::observeNoLimit(const ReplicaId& replica, TimePoint sent) {
   const auto account = accounts_.find(replica);
-  if (account == accounts_.end() || account->second.ended || sent <= account->second.named) {
+  if (account == accounts_.end() || account->second.ended || sent <= account->second.observed_at) {
     return;
   }
   account->second.ended = sent;
-  account->second.told.reset();
+  account->second.published.reset();
   changed_.push_back(replica);
 }
 
@@ -129,9 +129,9 @@
 
 void LimitLedger::refill(Account& account, TimePoint now) {
   const double rate = rateOf(account);
-  const double most = std::max(kLeastBurst, kBurstSeconds * rate);
-  account.credit = std::min(most, account.credit + rate * toSeconds(now - account.credited));
-  account.credited = now;
+  const double max_credit = std::max(kMinBurst, kBurstSeconds * rate);
+  account.credit = std::min(max_credit, account.credit + rate * toSeconds(now - account.refilled_at));
+  account.refilled_at = now;
 }
 
 /// Grants credit in the order of the requests, in advance as well if the call can wait for it. Refused
@@ -149,9 +149,9 @@
   Account& account = found->second;
   refill(account, now);
   const Duration wait = secondsToDuration(std::max(0.0, (1 - account.credit) / rateOf(account)));
-  const Duration longest = std::clamp<Duration>(std::chrono::milliseconds(ask.wait_ms), 0ms, kLongestPromise);
+  const Duration max_wait = std::clamp<Duration>(std::chrono::milliseconds(ask.wait_ms), 0ms, kMaxGrantWait);
   decision.calls_per_second = account.per_second;
-  decision.granted = wait <= longest;
+  decision.granted = wait <= max_wait;
   if (decision.granted) {
     account.credit -= 1;
     ++counts_.granted;
@@ -160,10 +160,10 @@
     return decision;
   }
   ++counts_.refused;
-  const TimePoint told = std::max(now + wait, account.promised);
-  account.promised = told + secondsToDuration(1 / rateOf(account));
-  account.promised = std::min(account.promised, now + wait + kLongestPromise);
-  decision.wait_ms = toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(told - now));
+  const TimePoint retry_at = std::max(now + wait, account.announced_until);
+  account.announced_until = retry_at + secondsToDuration(1 / rateOf(account));
+  account.announced_until = std::min(account.announced_until, now + wait + kMaxGrantWait);
+  decision.wait_ms = toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(retry_at - now));
   return decision;
 }
 
@@ -171,30 +171,30 @@
   std::vector<std::pair<ReplicaId, std::optional<double>>> changes;
   for (const ReplicaId& replica : std::exchange(changed_, {})) {
     const auto account = accounts_.find(replica);
-    changes.emplace_back(replica, account == accounts_.end() ? std::nullopt : account->second.told);
+    changes.emplace_back(replica, account == accounts_.end() ? std::nullopt : account->second.published);
   }
   return changes;
 }
 
 void LimitLedger::expire(TimePoint now) {
   std::erase_if(accounts_, [now](const auto& item) {
-    return item.second.ended && now - *item.second.ended > kEndRemembered;
+    return item.second.ended && now - *item.second.ended > kEndedLimitRetention;
   });
 }
 
-std::size_t LimitLedger::limited() const {
+std::size_t LimitLedger::activeCount() const {
   return static_cast<std::size_t>(
       std::count_if(accounts_.begin(), accounts_.end(), [](const auto& item) { return !item.second.ended; }));
 }
 
 /// Evicts the account whose limit was observed least recently.
-void LimitLedger::keepBounded() {
-  if (accounts_.size() <= kMostAccounts) {
+void LimitLedger::evictOldest() {
+  if (accounts_.size() <= kMaxAccounts) {
     return;
   }
   const auto oldest = std::min_element(
       accounts_.begin(), accounts_.end(),
-      [](const auto& left, const auto& right) { return left.second.named < right.second.named; });
+      [](const auto& left, const auto& right) { return left.second.observed_at < right.second.observed_at; });
   changed_.push_back(oldest->first);
   accounts_.erase(oldest);
 }
--- a/src/services/limit_ledger.h
+++ b/src/services/limit_ledger.h
@@ -22,7 +22,7 @@
 
 /// One leader's account of the call rates that replicas accept from all routers together. Routers report the
 /// limits that they observe in responses of replicas, and request credit before they send a call to a limited
-/// replica. In any period the ledger grants no more than the limit allows plus a burst (kLeastBurst,
+/// replica. In any period the ledger grants no more than the limit allows plus a burst (kMinBurst,
 /// kBurstSeconds). Grants of earlier leaders aren't known, so an account starts without credit. Used by one
 /// thread.
 class LimitLedger {
@@ -36,33 +36,33 @@
   void expire(TimePoint now);
 
   /// Returns the number of limits that are in force.
-  std::size_t limited() const;
+  std::size_t activeCount() const;
   const LimitCounts& counts() const { return counts_; }
 
  private:
   struct Account {
     double per_second = 0;
-    double credit = 0;               ///< in calls; below 0: granted in advance
-    TimePoint credited{};            ///< when credit was last refilled
-    TimePoint named{};               ///< latest observation of the limit by any router
-    std::optional<TimePoint> ended;  ///< when the limit ended; nullopt: in force
-    TimePoint promised{};            ///< end of the retry times announced to refused callers
-    std::optional<double> told;      ///< rate published to routers, in calls per second
-    TimePoint told_at{};             ///< when `told` was last changed
+    double credit = 0;                ///< in calls; below 0: granted in advance
+    TimePoint refilled_at{};          ///< when credit was last refilled
+    TimePoint observed_at{};          ///< latest observation of the limit by any router
+    std::optional<TimePoint> ended;   ///< when the limit ended; nullopt: in force
+    TimePoint announced_until{};      ///< end of the retry times announced to refused callers
+    std::optional<double> published;  ///< rate published to routers, in calls per second
+    TimePoint published_at{};         ///< when `published` was last changed
   };
   struct Requester {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
   };
 
-  bool isNew(const wire::LimitRequest& request);
-  void name(const ReplicaId& replica, double per_second, TimePoint at, TimePoint now);
-  void end(const ReplicaId& replica, TimePoint sent);
+  bool acceptSequence(const wire::LimitRequest& request);
+  void observeLimit(const ReplicaId& replica, double per_second, TimePoint at, TimePoint now);
+  void observeNoLimit(const ReplicaId& replica, TimePoint sent);
   void giveBack(const ReplicaId& replica, TimePoint now);
   wire::LimitDecision decide(const wire::LimitAsk& ask, TimePoint now);
   static void refill(Account& account, TimePoint now);
   static double rateOf(const Account& account);
-  void keepBounded();
+  void evictOldest();
 
   std::map<ReplicaId, Account> accounts_;
   std::map<NodeName, Requester> requesters_;
--- a/src/services/proof_requests.cc
+++ b/src/services/proof_requests.cc
@@ -5,27 +5,27 @@
 namespace ferryrock::services {
 
 void ProofRequests::add(const NodeName& router, std::uint64_t incarnation, TimePoint now) {
-  const auto [known, added] = waiting_.try_emplace(router, Request{incarnation, now});
+  const auto [known, added] = pending_.try_emplace(router, Request{incarnation, now});
   if (!added && known->second.incarnation == incarnation) {
     return;
   }
   known->second = {incarnation, now};
-  order_.push_back({now, router});
+  queue_.push_back({now, router});
 }
 
 std::vector<NodeName> ProofRequests::takeAnswerable(TimePoint followed) {
   std::vector<NodeName> answerable;
-  while (!order_.empty()) {
+  while (!queue_.empty()) {
     ++examined_;
-    if (order_.front().at > followed) {
+    if (queue_.front().arrived_at > followed) {
       break;
     }
-    const Place place = std::move(order_.front());
-    order_.pop_front();
-    const auto request = waiting_.find(place.router);
-    if (request != waiting_.end() && request->second.at == place.at) {
-      waiting_.erase(request);
-      answerable.push_back(place.router);
+    const QueueEntry entry = std::move(queue_.front());
+    queue_.pop_front();
+    const auto request = pending_.find(entry.router);
+    if (request != pending_.end() && request->second.arrived_at == entry.arrived_at) {
+      pending_.erase(request);
+      answerable.push_back(entry.router);
     }
   }
   return answerable;
--- a/src/services/proof_requests.h
+++ b/src/services/proof_requests.h
@@ -21,22 +21,23 @@
   void add(const NodeName& router, std::uint64_t incarnation, TimePoint now);
   /// Removes and returns the routers whose requests arrived no later than `followed`.
   std::vector<NodeName> takeAnswerable(TimePoint followed);
-  bool empty() const { return waiting_.empty(); }
+  bool empty() const { return pending_.empty(); }
   /// Number of queue entries examined by all calls of takeAnswerable() so far.
   std::uint64_t examined() const { return examined_; }
 
  private:
   struct Request {
     std::uint64_t incarnation = 0;
-    TimePoint at{};
+    TimePoint arrived_at{};
   };
-  struct Place {
-    TimePoint at{};
+  struct QueueEntry {
+    TimePoint arrived_at{};
     NodeName router;
   };
 
-  std::map<NodeName, Request> waiting_;
-  std::deque<Place> order_;  ///< oldest first; may contain entries of former incarnations, which are skipped
+  std::map<NodeName, Request> pending_;
+  std::deque<QueueEntry>
+      queue_;  ///< oldest first; may contain entries of former incarnations, which are skipped
   std::uint64_t examined_ = 0;
 };
 
--- a/src/services/replica_registry.cc
+++ b/src/services/replica_registry.cc
@@ -8,15 +8,15 @@
 namespace ferryrock::services {
 namespace {
 
-constexpr std::size_t kRememberedRemovals = 4096;
+constexpr std::size_t kMaxRetainedRemovals = 4096;
 /// Reports must confirm an ordered adapter load or model unload within this time; otherwise the order is
 /// taken to have failed.
-constexpr Duration kAssumptionLasts = std::chrono::seconds(4);
+constexpr Duration kOrderConfirmationTimeout = std::chrono::seconds(4);
 /// A replica counts as alive if its last report is no older than two heartbeats of 1.2 s plus a margin.
-constexpr Duration kAlive = std::chrono::milliseconds(2500);
+constexpr Duration kLivenessTimeout = std::chrono::milliseconds(2500);
 /// Retention of removed replicas and their incarnations: reports that a network partition delays by up to
 /// this time are recognised as stale.
-constexpr Duration kForgottenKnown = std::chrono::minutes(5);
+constexpr Duration kRemovedReplicaRetention = std::chrono::minutes(5);
 
 /// Returns true if the reports are equivalent for routers. The remaining slow start time isn't compared,
 /// since routers count it down themselves.
@@ -27,7 +27,7 @@
          left.leaving == right.leaving;
 }
 
-bool lists(const wire::ReplicaReport& report, const ModelName& model, const std::string& adapter) {
+bool listsAdapter(const wire::ReplicaReport& report, const ModelName& model, const std::string& adapter) {
   return std::any_of(report.held.begin(), report.held.end(), [&](const wire::HeldModel& held) {
     return held.model == model &&
            std::find(held.adapters.begin(), held.adapters.end(), adapter) != held.adapters.end();
@@ -44,7 +44,7 @@
     }
     held.push_back(model);
     for (const auto& [key, since] : assumed_adapters) {
-      if (key.first == model.model && !lists(report, model.model, key.second)) {
+      if (key.first == model.model && !listsAdapter(report, model.model, key.second)) {
         held.back().adapters.push_back(key.second);
       }
     }
@@ -52,110 +52,112 @@
   return held;
 }
 
-ReportNews ReplicaRegistry::accept(const wire::ReplicaReport& report, TimePoint now, bool is_configured) {
+ReportOutcome ReplicaRegistry::accept(const wire::ReplicaReport& report, TimePoint now, bool is_configured) {
   if (report.address.empty()) {
-    markLeaving(currentLife(report.id));
-    return ReportNews::Changed;
+    markLeaving(currentIncarnation(report.id));
+    return ReportOutcome::Changed;
   }
-  if (hasLaterLife(report.id)) {
-    return ReportNews::Late;
+  if (hasNewerIncarnation(report.id)) {
+    return ReportOutcome::Stale;
   }
   const auto known = replicas_.find(report.id);
   if (known == replicas_.end()) {
     const bool refused = isReplaced(report, now) || (!is_configured && addressIsInUse(report, now));
-    return refused ? ReportNews::Late : addReplica(report, now);
+    return refused ? ReportOutcome::Stale : addReplica(report, now);
   }
-  noteLife(report.id, now);
+  recordIncarnation(report.id, now);
   ReplicaRecord& record = known->second;
   const bool newly_leaving = report.leaving && !record.leaving;
   if (report.sequence <= record.report.sequence && !newly_leaving) {
-    return ReportNews::Late;
+    return ReportOutcome::Stale;
   }
   const bool same = sameForRouters(record.report, report) && !newly_leaving;
   if (report.sequence > record.report.sequence) {
     setReport(record, report);
-    record.heard = now;
+    record.last_contact = now;
   }
   if (same) {
-    return ReportNews::Same;
+    return ReportOutcome::Unchanged;
   }
   std::erase_if(record.withdrawn_models, [&report](const auto& item) {
     return std::none_of(report.held.begin(), report.held.end(),
                         [&item](const wire::HeldModel& held) { return held.model == item.first; });
   });
-  noteChange(record);
+  recordChange(record);
   if (newly_leaving) {
     record.leaving = true;
-    record.left = record.changed;
+    record.leaving_change = record.last_change;
   }
-  return ReportNews::Changed;
+  return ReportOutcome::Changed;
 }
 
-ReportNews ReplicaRegistry::addReplica(const wire::ReplicaReport& report, TimePoint now) {
-  forgotten_.erase(report.id);
+ReportOutcome ReplicaRegistry::addReplica(const wire::ReplicaReport& report, TimePoint now) {
+  removed_at_.erase(report.id);
   removeOthersAt(report.address, report.id, now);
-  noteLife(report.id, now);
+  recordIncarnation(report.id, now);
   ReplicaRecord& record = replicas_[report.id];
   setReport(record, report);
-  record.heard = now;
-  noteChange(record);
+  record.last_contact = now;
+  recordChange(record);
   if (report.leaving) {
     record.leaving = true;
-    record.left = record.changed;
+    record.leaving_change = record.last_change;
   }
-  return ReportNews::Changed;
+  return ReportOutcome::Changed;
 }
 
-ReplicaId ReplicaRegistry::currentLife(const ReplicaId& id) const {
-  const auto life = lives_.find(wire::replicaName(id));
-  const bool named_alone = wire::replicaBorn(id) == 0;
-  return named_alone && life != lives_.end() ? life->second.id : id;
+ReplicaId ReplicaRegistry::currentIncarnation(const ReplicaId& id) const {
+  const auto incarnation = incarnations_.find(wire::replicaName(id));
+  const bool is_bare_name = wire::replicaBorn(id) == 0;
+  return is_bare_name && incarnation != incarnations_.end() ? incarnation->second.id : id;
 }
 
-bool ReplicaRegistry::hasLaterLife(const ReplicaId& id) const {
-  const auto life = lives_.find(wire::replicaName(id));
-  return life != lives_.end() && wire::replicaBorn(life->second.id) > wire::replicaBorn(id);
+bool ReplicaRegistry::hasNewerIncarnation(const ReplicaId& id) const {
+  const auto incarnation = incarnations_.find(wire::replicaName(id));
+  return incarnation != incarnations_.end() &&
+         wire::replicaBorn(incarnation->second.id) > wire::replicaBorn(id);
 }
 
 /// Records the replica's current incarnation. The former one is removed with the first report of its
 /// successor, which inherits neither its models nor its report sequence nor its leave notices.
-void ReplicaRegistry::noteLife(const ReplicaId& id, TimePoint now) {
+void ReplicaRegistry::recordIncarnation(const ReplicaId& id, TimePoint now) {
   if (wire::replicaBorn(id) == 0) {
     return;
   }
   const std::string name = wire::replicaName(id);
-  Life& life = lives_[name];
-  if (!life.id.empty() && life.id != id) {
-    const auto former = replicas_.find(life.id);
+  Incarnation& incarnation = incarnations_[name];
+  if (!incarnation.id.empty() && incarnation.id != id) {
+    const auto former = replicas_.find(incarnation.id);
     if (former != replicas_.end()) {
       remove(former, now);
     }
   }
-  life = {id, now};
-  const auto unborn = replicas_.find(ReplicaId(name));
-  if (unborn != replicas_.end()) {
-    remove(unborn, now);
+  incarnation = {id, now};
+  const auto without_start = replicas_.find(ReplicaId(name));
+  if (without_start != replicas_.end()) {
+    remove(without_start, now);
   }
 }
 
-void ReplicaRegistry::noteAlive(const wire::ReplicaAlive& alive, TimePoint now) {
+void ReplicaRegistry::recordHeartbeat(const wire::ReplicaAlive& alive, TimePoint now) {
   ReplicaRecord* record = findMutable(alive.id);
   if (record != nullptr && alive.sequence > record->report.sequence) {
     record->report.sequence = alive.sequence;
-    record->heard = now;
-    noteLife(alive.id, now);
+    record->last_contact = now;
+    recordIncarnation(alive.id, now);
   }
 }
 
 bool ReplicaRegistry::isReplaced(const wire::ReplicaReport& report, TimePoint now) const {
-  return forgotten_.contains(report.id) && addressIsInUse(report, now);
+  return removed_at_.contains(report.id) && addressIsInUse(report, now);
 }
 
 bool ReplicaRegistry::addressIsInUse(const wire::ReplicaReport& report, TimePoint now) const {
   const auto holders = by_address_.find(report.address);
   return holders != by_address_.end() &&
-         std::any_of(holders->second.begin(), holders->second.end(),
-                     [&](const ReplicaId& id) { return now - replicas_.at(id).heard <= kAlive; });
+         std::any_of(holders->second.begin(), holders->second.end(), [&](const ReplicaId& id) {
+           return now - replicas_.at(id).last_contact <= kLivenessTimeout;
+         });
 }
 
 void ReplicaRegistry::removeOthersAt(const std::string& address, const ReplicaId& id, TimePoint now) {
@@ -171,12 +173,12 @@
 }
 
 void ReplicaRegistry::setReport(ReplicaRecord& record, const wire::ReplicaReport& report) {
-  leaveAddress(record);
+  removeFromAddressIndex(record);
   record.report = report;
   by_address_[report.address].insert(report.id);
 }
 
-void ReplicaRegistry::leaveAddress(const ReplicaRecord& record) {
+void ReplicaRegistry::removeFromAddressIndex(const ReplicaRecord& record) {
   const auto holders = by_address_.find(record.report.address);
   if (holders == by_address_.end()) {
     return;
@@ -191,8 +193,8 @@
   ReplicaRecord* record = findMutable(id);
   if (record != nullptr && !record->leaving) {
     record->leaving = true;
-    noteChange(*record);
-    record->left = record->changed;
+    recordChange(*record);
+    record->leaving_change = record->last_change;
   }
 }
 
@@ -201,7 +203,7 @@
   if (record != nullptr && record->calls_per_second != calls_per_second) {
     record->calls_per_second = calls_per_second;
     record->limit_ended = !calls_per_second;
-    noteChange(*record);
+    recordChange(*record);
   }
 }
 
@@ -210,7 +212,7 @@
     if (record.calls_per_second || record.limit_ended) {
       record.calls_per_second.reset();
       record.limit_ended = false;
-      noteChange(record);
+      recordChange(record);
     }
   }
 }
@@ -223,25 +225,28 @@
   for (auto& [id, record] : replicas_) {
     const ZoneName& zone = record.report.zone;
     if (former.contains(zone) != evacuated_.contains(zone)) {
-      noteChange(record);
+      recordChange(record);
     }
   }
 }
 
 void ReplicaRegistry::expire(TimePoint now, Duration silence) {
-  std::erase_if(forgotten_, [now](const auto& item) { return now - item.second > kForgottenKnown; });
-  std::erase_if(lives_, [now](const auto& item) { return now - item.second.heard > kForgottenKnown; });
+  std::erase_if(removed_at_,
+                [now](const auto& item) { return now - item.second > kRemovedReplicaRetention; });
+  std::erase_if(incarnations_, [now](const auto& item) {
+    return now - item.second.last_contact > kRemovedReplicaRetention;
+  });
   for (auto replica = replicas_.begin(); replica != replicas_.end();) {
     const auto next = std::next(replica);
     ReplicaRecord& record = replica->second;
-    if (now - record.heard > silence) {
+    if (now - record.last_contact > silence) {
       remove(replica, now);
     } else {
-      const auto outlived = [now](const auto& item) { return now - item.second > kAssumptionLasts; };
+      const auto expired = [now](const auto& item) { return now - item.second > kOrderConfirmationTimeout; };
       const auto dropped =
-          std::erase_if(record.assumed_adapters, outlived) + std::erase_if(record.withdrawn_models, outlived);
+          std::erase_if(record.assumed_adapters, expired) + std::erase_if(record.withdrawn_models, expired);
       if (dropped > 0) {
-        noteChange(record);
+        recordChange(record);
       }
     }
     replica = next;
@@ -252,7 +257,7 @@
                                     TimePoint now) {
   if (ReplicaRecord* record = findMutable(id)) {
     record->assumed_adapters[{model, adapter}] = now;
-    noteChange(*record);
+    recordChange(*record);
   }
 }
 
@@ -267,20 +272,20 @@
       std::erase(held.adapters, adapter);
     }
   }
-  noteChange(*record);
+  recordChange(*record);
 }
 
 void ReplicaRegistry::withdrawModel(const ReplicaId& id, const ModelName& model, TimePoint now) {
   if (ReplicaRecord* record = findMutable(id)) {
     record->withdrawn_models[model] = now;
-    noteChange(*record);
+    recordChange(*record);
   }
 }
 
 void ReplicaRegistry::restoreModel(const ReplicaId& id, const ModelName& model) {
   ReplicaRecord* record = findMutable(id);
   if (record != nullptr && record->withdrawn_models.erase(model) > 0) {
-    noteChange(*record);
+    recordChange(*record);
   }
 }
 
@@ -289,10 +294,10 @@
   return found == replicas_.end() ? nullptr : &found->second;
 }
 
-void ReplicaRegistry::renewAll() {
+void ReplicaRegistry::forceFullUpdates() {
   ++changes_;
   removals_.clear();
-  removals_known_from_ = changes_;
+  removals_complete_from_ = changes_;
 }
 
 ReplicaRecord* ReplicaRegistry::findMutable(const ReplicaId& id) {
@@ -301,7 +306,7 @@
 }
 
 bool ReplicaRegistry::removedSince(std::uint64_t change, std::vector<ReplicaId>& removed) const {
-  if (change < removals_known_from_) {
+  if (change < removals_complete_from_) {
     return false;
   }
   for (const Removal& removal : removals_) {
@@ -312,19 +317,19 @@
   return true;
 }
 
-void ReplicaRegistry::noteChange(ReplicaRecord& record) {
-  record.changed = ++changes_;
+void ReplicaRegistry::recordChange(ReplicaRecord& record) {
+  record.last_change = ++changes_;
   touched_.insert(record.report.id);
 }
 
 void ReplicaRegistry::remove(std::map<ReplicaId, ReplicaRecord>::iterator replica, TimePoint now) {
-  forgotten_[replica->first] = now;
+  removed_at_[replica->first] = now;
   touched_.insert(replica->first);
   removals_.push_back({++changes_, replica->first});
-  leaveAddress(replica->second);
+  removeFromAddressIndex(replica->second);
   replicas_.erase(replica);
-  if (removals_.size() > kRememberedRemovals) {
-    removals_known_from_ = removals_.front().change;
+  if (removals_.size() > kMaxRetainedRemovals) {
+    removals_complete_from_ = removals_.front().change;
     removals_.pop_front();
   }
 }
--- a/src/services/replica_registry.h
+++ b/src/services/replica_registry.h
@@ -17,10 +17,10 @@
 /// State of a replica according to its latest report.
 struct ReplicaRecord {
   wire::ReplicaReport report;
-  TimePoint heard{};          ///< time of the last contact
-  bool leaving = false;       ///< drains: gets no new calls
-  std::uint64_t left = 0;     ///< ReplicaRegistry::changes() when `leaving` was set
-  std::uint64_t changed = 0;  ///< ReplicaRegistry::changes() at the last change that concerns routers
+  TimePoint last_contact{};          ///< time of the last contact
+  bool leaving = false;              ///< drains: gets no new calls
+  std::uint64_t leaving_change = 0;  ///< ReplicaRegistry::changes() when `leaving` was set
+  std::uint64_t last_change = 0;     ///< ReplicaRegistry::changes() at the last change that concerns routers
   /// Adapters that the replica accepted for loading, by (model, adapter), until a report lists them; with the
   /// time of the order.
   std::map<std::pair<ModelName, std::string>, TimePoint> assumed_adapters;
@@ -34,10 +34,10 @@
   std::vector<wire::HeldModel> usable() const;
 };
 
-enum class ReportNews : std::uint8_t {
-  Late,     ///< superseded, or from a replica or incarnation that was replaced: the report was ignored
-  Same,     ///< a heartbeat without a change that concerns routers
-  Changed,  ///< routers need an update
+enum class ReportOutcome : std::uint8_t {
+  Stale,      ///< superseded, or from a replica or incarnation that was replaced: the report was ignored
+  Unchanged,  ///< a heartbeat without a change that concerns routers
+  Changed,    ///< routers need an update
 };
 
 /// Replicas that report to the cell. Soft state: a member starts with an empty registry, which fills as
@@ -48,12 +48,12 @@
   /// Applies a report. A report without an address is a bare leave notice.
   /// is_configured: the catalog contains the report's service. A report of any other service is ignored while
   /// its address belongs to a replica that is alive.
-  ReportNews accept(const wire::ReplicaReport& report, TimePoint now, bool is_configured = true);
+  ReportOutcome accept(const wire::ReplicaReport& report, TimePoint now, bool is_configured = true);
   /// Resolves an id without a start time, as in bare leave notices, to the replica's latest known
   /// incarnation; returns the id itself if it has a start time or no incarnation is known.
-  ReplicaId currentLife(const ReplicaId& id) const;
+  ReplicaId currentIncarnation(const ReplicaId& id) const;
   /// Records an unchanged report of a known replica; others are ignored.
-  void noteAlive(const wire::ReplicaAlive& alive, TimePoint now);
+  void recordHeartbeat(const wire::ReplicaAlive& alive, TimePoint now);
   /// Marks a known replica as leaving until its incarnation ends; unknown replicas are ignored.
   void markLeaving(const ReplicaId& id);
   /// Sets the limit of a known replica over all routers; nullopt: the limit has ended. Unknown replicas are
@@ -77,7 +77,7 @@
 
   /// Makes incremental updates from earlier revisions impossible, so that all routers get a full table: the
   /// tables that they hold may list replicas that are gone.
-  void renewAll();
+  void forceFullUpdates();
 
   const std::map<ReplicaId, ReplicaRecord>& replicas() const { return replicas_; }
   const ReplicaRecord* find(const ReplicaId& id) const;
@@ -96,32 +96,32 @@
   };
 
   /// Latest known incarnation of a replica that reports its start time.
-  struct Life {
+  struct Incarnation {
     ReplicaId id;
-    TimePoint heard{};
+    TimePoint last_contact{};
   };
 
   void remove(std::map<ReplicaId, ReplicaRecord>::iterator replica, TimePoint now);
-  ReportNews addReplica(const wire::ReplicaReport& report, TimePoint now);
+  ReportOutcome addReplica(const wire::ReplicaReport& report, TimePoint now);
   /// Returns true for a delayed report: its sender was removed, and its address belongs to another replica
   /// that is alive.
   bool isReplaced(const wire::ReplicaReport& report, TimePoint now) const;
   bool addressIsInUse(const wire::ReplicaReport& report, TimePoint now) const;
   void setReport(ReplicaRecord& record, const wire::ReplicaReport& report);
-  void leaveAddress(const ReplicaRecord& record);
-  bool hasLaterLife(const ReplicaId& id) const;
-  void noteLife(const ReplicaId& id, TimePoint now);
+  void removeFromAddressIndex(const ReplicaRecord& record);
+  bool hasNewerIncarnation(const ReplicaId& id) const;
+  void recordIncarnation(const ReplicaId& id, TimePoint now);
   void removeOthersAt(const std::string& address, const ReplicaId& id, TimePoint now);
   ReplicaRecord* findMutable(const ReplicaId& id);
-  void noteChange(ReplicaRecord& record);
+  void recordChange(ReplicaRecord& record);
 
   std::map<ReplicaId, ReplicaRecord> replicas_;
   std::map<std::string, std::set<ReplicaId>> by_address_;
   std::set<ZoneName> evacuated_;
-  std::map<ReplicaId, TimePoint> forgotten_;  ///< removed replicas with the time of removal; kept for 5 min
-  std::map<std::string, Life> lives_;         ///< by the replica's name
-  std::deque<Removal> removals_;              ///< oldest first
-  std::uint64_t removals_known_from_ = 0;     ///< removals_ is complete for changes after this count
+  std::map<ReplicaId, TimePoint> removed_at_;  ///< removed replicas with the time of removal; kept for 5 min
+  std::map<std::string, Incarnation> incarnations_;  ///< by the replica's name
+  std::deque<Removal> removals_;                     ///< oldest first
+  std::uint64_t removals_complete_from_ = 0;         ///< removals_ is complete for changes after this count
   std::uint64_t changes_ = 0;
   std::set<ReplicaId> touched_;
 };
--- a/src/services/report_relay.h
+++ b/src/services/report_relay.h
@@ -34,18 +34,18 @@
   /// Returns and clears the pending batches.
   Batches take(TimePoint now);
   /// Latest full reports of all replicas that report to this member, in messages of bounded size.
-  std::vector<wire::ReplicaReports> whole(const ReplicaRegistry& registry, TimePoint now);
+  std::vector<wire::ReplicaReports> fullReports(const ReplicaRegistry& registry, TimePoint now);
 
  private:
-  void relayToAll(const wire::ReplicaReport& report, bool changed, TimePoint now);
-  void relayInLarge(const wire::ReplicaReport& report, bool changed, TimePoint now);
-  void dueAt(TimePoint time);
-  void forgetMoved(TimePoint now);
+  void relayInSmallFleet(const wire::ReplicaReport& report, bool changed, TimePoint now);
+  void relayInLargeFleet(const wire::ReplicaReport& report, bool changed, TimePoint now);
+  void scheduleFlush(TimePoint time);
+  void expireLocalReplicas(TimePoint now);
 
   Batches batches_;
   TimePoint due_ = TimePoint::max();
-  TimePoint taken_{};
-  std::map<ReplicaId, TimePoint> heard_here_;
+  TimePoint last_flush_{};
+  std::map<ReplicaId, TimePoint> local_replicas_;
 };
 
 }  // namespace ferryrock::services
--- a/src/services/router_directory.cc
+++ b/src/services/router_directory.cc
@@ -6,44 +6,43 @@
 namespace ferryrock::services {
 namespace {
 
-constexpr Duration kForgottenAfter = std::chrono::seconds(10);
+constexpr Duration kRouterExpiry = std::chrono::seconds(10);
 /// Routers report unreachable replicas to the leader more often than this.
-constexpr Duration kReachIsFresh = std::chrono::milliseconds(1000);
+constexpr Duration kReachabilityTtl = std::chrono::milliseconds(1000);
 /// Number of missed statuses after which a router counts as gone.
-constexpr int kMissedStatuses = 3;
+constexpr int kMaxMissedStatuses = 3;
 
 }  // namespace
 
 bool RouterDirectory::accept(const wire::CallRouterStatus& status, TimePoint now) {
   RouterRecord& record = routers_[status.router];
-  const bool same_life = record.status.incarnation == status.incarnation;
-  if (same_life && status.sequence <= record.status.sequence) {
+  const bool same_incarnation = record.status.incarnation == status.incarnation;
+  if (same_incarnation && status.sequence <= record.status.sequence) {
     return false;
   }
   record.status = status;
-  record.heard = now;
+  record.last_contact = now;
   return true;
 }
 
 void RouterDirectory::expire(TimePoint now) {
-  const Duration forgotten_after = longEnough(kForgottenAfter);
-  std::erase_if(routers_, [now, forgotten_after](const auto& item) {
-    return now - item.second.heard > forgotten_after;
-  });
+  const Duration expiry = extendedTimeout(kRouterExpiry);
+  std::erase_if(routers_,
+                [now, expiry](const auto& item) { return now - item.second.last_contact > expiry; });
 }
 
-Duration RouterDirectory::longEnough(Duration least) const {
-  return std::max(least, kMissedStatuses * status_interval_);
+Duration RouterDirectory::extendedTimeout(Duration min_timeout) const {
+  return std::max(min_timeout, kMaxMissedStatuses * status_interval_);
 }
 
-bool RouterDirectory::offered(const RouterRecord& record, TimePoint now) const {
-  return record.status.accepting && now - record.heard <= longEnough(kOfferedFor);
+bool RouterDirectory::isOffered(const RouterRecord& record, TimePoint now) const {
+  return record.status.accepting && now - record.last_contact <= extendedTimeout(kOfferTimeout);
 }
 
 std::vector<wire::RouterContact> RouterDirectory::contacts(TimePoint now) const {
   std::vector<wire::RouterContact> contacts;
   for (const auto& [name, record] : routers_) {
-    if (offered(record, now)) {
+    if (isOffered(record, now)) {
       const wire::CallRouterStatus& status = record.status;
       contacts.push_back({name, status.zone, status.address, status.incarnation, status.subscribes});
     }
@@ -51,7 +50,7 @@
   return contacts;
 }
 
-void RouterDirectory::takeContacts(const std::vector<wire::RouterContact>& contacts, TimePoint now) {
+void RouterDirectory::applyContacts(const std::vector<wire::RouterContact>& contacts, TimePoint now) {
   for (const NodeName& former : std::exchange(contacts_, {})) {
     const auto record = routers_.find(former);
     if (record != routers_.end()) {
@@ -69,17 +68,17 @@
       record.status.subscribes = contact.subscribes;
     }
     record.status.accepting = true;
-    record.heard = now;
+    record.last_contact = now;
     contacts_.insert(contact.router);
   }
   contacts_digest_ = wire::contactsDigest(contacts);
 }
 
-void RouterDirectory::keepContacts(TimePoint now) {
+void RouterDirectory::renewContacts(TimePoint now) {
   for (const NodeName& contact : contacts_) {
     const auto record = routers_.find(contact);
     if (record != routers_.end()) {
-      record->second.heard = now;
+      record->second.last_contact = now;
     }
   }
 }
@@ -90,14 +89,14 @@
   std::vector<std::string> others;
   std::set<ZoneName> zones;
   for (const auto& [name, record] : routers_) {
-    if (offered(record, now)) {
+    if (isOffered(record, now)) {
       zones.insert(record.status.zone);
       (record.status.zone == zone ? own : others).push_back(record.status.address);
     }
   }
-  const std::size_t of_zone = std::max(kFewestChoices, limit / std::max<std::size_t>(1, zones.size()));
-  if (own.size() >= std::min(kFewestChoices, limit)) {
-    own.resize(std::min({own.size(), of_zone, limit}));
+  const std::size_t max_same_zone = std::max(kMinChoices, limit / std::max<std::size_t>(1, zones.size()));
+  if (own.size() >= std::min(kMinChoices, limit)) {
+    own.resize(std::min({own.size(), max_same_zone, limit}));
     return own;
   }
   own.insert(own.end(), others.begin(), others.end());
@@ -106,14 +105,15 @@
 }
 
 std::size_t RouterDirectory::acceptingCount(TimePoint now) const {
-  return static_cast<std::size_t>(std::count_if(
-      routers_.begin(), routers_.end(), [this, now](const auto& item) { return offered(item.second, now); }));
+  return static_cast<std::size_t>(
+      std::count_if(routers_.begin(), routers_.end(),
+                    [this, now](const auto& item) { return isOffered(item.second, now); }));
 }
 
 std::set<ReplicaId> RouterDirectory::unreachable(TimePoint now) const {
   std::set<ReplicaId> ids;
   for (const auto& [name, record] : routers_) {
-    if (now - record.heard <= longEnough(kReachIsFresh)) {
+    if (now - record.last_contact <= extendedTimeout(kReachabilityTtl)) {
       ids.insert(record.status.unreachable.begin(), record.status.unreachable.end());
     }
   }
--- a/src/services/router_directory.h
+++ b/src/services/router_directory.h
@@ -12,7 +12,7 @@
 
 struct RouterRecord {
   wire::CallRouterStatus status;
-  TimePoint heard{};
+  TimePoint last_contact{};
 };
 
 /// Routers that report their status. Every member keeps its own directory, so that callers get router
@@ -27,7 +27,7 @@
   /// Routers with recent contact; a crashed router stays listed until it expires.
   const std::map<NodeName, RouterRecord>& routers() const { return routers_; }
   /// Returns at most `limit` router addresses for callers of a zone: routers of the same zone, up to the
-  /// limit divided by the number of zones; if the zone has fewer than kFewestChoices, also routers of other
+  /// limit divided by the number of zones; if the zone has fewer than kMinChoices, also routers of other
   /// zones.
   std::vector<std::string> addresses(const ZoneName& zone, TimePoint now, std::size_t limit) const;
   /// Number of routers that callers may be sent to, among which retry budgets are divided.
@@ -43,20 +43,20 @@
   std::vector<wire::RouterContact> contacts(TimePoint now) const;
   /// Applies a leader's list of contacts: listed routers are available, routers of the former list that are
   /// missing here aren't.
-  void takeContacts(const std::vector<wire::RouterContact>& contacts, TimePoint now);
+  void applyContacts(const std::vector<wire::RouterContact>& contacts, TimePoint now);
   /// Renews the contacts of the last list, which the leader confirmed as unchanged.
-  void keepContacts(TimePoint now);
+  void renewContacts(TimePoint now);
   /// wire::contactsDigest() of the leader's last list.
   std::uint64_t contactsDigest() const { return contacts_digest_; }
 
   /// A router without contact for longer than this isn't offered to callers.
-  static constexpr Duration kOfferedFor = std::chrono::milliseconds(3000);
+  static constexpr Duration kOfferTimeout = std::chrono::milliseconds(3000);
   /// Minimum number of routers offered to a caller, so that it has alternatives when a router fails.
-  static constexpr std::size_t kFewestChoices = 4;
+  static constexpr std::size_t kMinChoices = 4;
 
  private:
-  bool offered(const RouterRecord& record, TimePoint now) const;
-  Duration longEnough(Duration least) const;
+  bool isOffered(const RouterRecord& record, TimePoint now) const;
+  Duration extendedTimeout(Duration min_timeout) const;
 
   std::map<NodeName, RouterRecord> routers_;
   Duration status_interval_{};
--- a/src/services/router_tables.cc
+++ b/src/services/router_tables.cc
@@ -8,24 +8,24 @@
 namespace {
 
 /// A table that the router doesn't report to hold within this time after sending counts as lost.
-constexpr Duration kOnItsWay = std::chrono::milliseconds(400);
+constexpr Duration kDeliveryTimeout = std::chrono::milliseconds(400);
 /// Maximum number of tables tracked per router; beyond it the two oldest are merged.
-constexpr std::size_t kMostSent = 8;
+constexpr std::size_t kMaxTrackedTables = 8;
 
-std::uint64_t combined(std::uint64_t hash, std::uint64_t value) {
+std::uint64_t combineHash(std::uint64_t hash, std::uint64_t value) {
   return stableHash({reinterpret_cast<const char*>(&value), sizeof(value)}, hash);
 }
 
 }  // namespace
 
 void RouterTables::expect(const NodeName& router) {
-  const RouterPointer expected = routers_.try_emplace(router).first;
+  const RouterIterator expected = routers_.try_emplace(router).first;
   expected->second.confirm = true;
-  judge(expected);
+  updateSettled(expected);
 }
 
 void RouterTables::accept(const wire::CallRouterStatus& status, TimePoint now) {
-  const RouterPointer router = routers_.try_emplace(status.router).first;
+  const RouterIterator router = routers_.try_emplace(status.router).first;
   Router& state = router->second;
   if (state.incarnation != status.incarnation) {
     clear(router);
@@ -41,22 +41,22 @@
     }
     state.known = true;
   } else if (holds_nothing && state.sent.empty()) {
-    noteTable(router, {0, closings_, true, {}});
+    recordTable(router, {0, closings_, true, {}});
     state.known = true;
   } else {
     state.known = false;
   }
   const bool holds_last = !state.sent.empty() && state.sent.back().table == status.table;
-  state.lost = !holds_last && (status.missed_update || now - state.sent_at >= kOnItsWay);
+  state.lost = !holds_last && (status.missed_update || now - state.sent_at >= kDeliveryTimeout);
   // The last table may be older than the closing; only a table built after it counts as a confirmation.
   const bool confirmed = holds_last && state.sent.back().closings >= state.confirm_from;
   state.confirm = state.confirm && !confirmed;
   ++confirmations_;
-  judge(router);
-  noteWaits(router, status);
+  updateSettled(router);
+  setAwaitedModels(router, status);
 }
 
-void RouterTables::judge(RouterPointer router) {
+void RouterTables::updateSettled(RouterIterator router) {
   const Router& state = router->second;
   if (state.known && state.sent.front().complete) {
     unsettled_.erase(router->first);
@@ -65,32 +65,32 @@
   }
 }
 
-void RouterTables::noteWaits(RouterPointer router, const wire::CallRouterStatus& status) {
-  std::set<ModelKey> waits_for;
+void RouterTables::setAwaitedModels(RouterIterator router, const wire::CallRouterStatus& status) {
+  std::set<ModelKey> awaited_models;
   for (const wire::ModelWant& want : status.wants) {
-    if (want.waiting > 0 && waits_for.size() < ReplicaChoice::kMostInterests) {
-      waits_for.insert({want.service, want.model, {}});
-      waits_for.insert({want.service, want.model, want.adapter});
+    if (want.waiting > 0 && awaited_models.size() < ReplicaChoice::kMostInterests) {
+      awaited_models.insert({want.service, want.model, {}});
+      awaited_models.insert({want.service, want.model, want.adapter});
     }
   }
   Router& state = router->second;
-  if (state.waits_for == waits_for) {
+  if (state.awaited_models == awaited_models) {
     return;
   }
-  for (const ModelKey& key : state.waits_for) {
+  for (const ModelKey& key : state.awaited_models) {
     const auto waiting = waiting_.find(key);
     waiting->second.erase(router->first);
     if (waiting->second.empty()) {
       waiting_.erase(waiting);
     }
   }
-  for (const ModelKey& key : waits_for) {
+  for (const ModelKey& key : awaited_models) {
     waiting_[key].insert(router->first);
   }
-  state.waits_for = std::move(waits_for);
+  state.awaited_models = std::move(awaited_models);
 }
 
-void RouterTables::follow(const ReplicaIndex::Changes& changes) {
+void RouterTables::applyChanges(const ReplicaIndex::Changes& changes) {
   for (const ModelKey& key : changes.grown) {
     const auto waiting = waiting_.find(key);
     if (waiting != waiting_.end()) {
@@ -124,7 +124,7 @@
   due_.merge(affected);
 }
 
-void RouterTables::tellWaiting() {
+void RouterTables::queueWaitingRouters() {
   for (const auto& [key, names] : waiting_) {
     due_.insert(names.begin(), names.end());
   }
@@ -143,7 +143,7 @@
 }
 
 void RouterTables::forget(const NodeName& name) {
-  const RouterPointer router = routers_.find(name);
+  const RouterIterator router = routers_.find(name);
   if (router == routers_.end()) {
     return;
   }
@@ -154,15 +154,15 @@
 }
 
 /// Resets the state of the router: its tables and the models that its calls wait for.
-void RouterTables::clear(RouterPointer router) {
+void RouterTables::clear(RouterIterator router) {
   while (!router->second.sent.empty()) {
     dropOldest(router);
   }
-  noteWaits(router, {});
+  setAwaitedModels(router, {});
   router->second = Router{};
 }
 
-void RouterTables::dropOldest(RouterPointer router) {
+void RouterTables::dropOldest(RouterIterator router) {
   for (const ReplicaId& replica : router->second.sent.front().open) {
     const auto users = users_.find(replica);
     const auto tables = users->second.find(router->first);
@@ -176,9 +176,9 @@
   router->second.sent.pop_front();
 }
 
-void RouterTables::noteTable(RouterPointer router, Sent sent) {
+void RouterTables::recordTable(RouterIterator router, Sent sent) {
   Router& state = router->second;
-  if (state.sent.size() >= kMostSent) {
+  if (state.sent.size() >= kMaxTrackedTables) {
     Sent& oldest = state.sent.front();
     Sent& next = state.sent[1];
     // users_ counts a replica once per table; the entries of the oldest table are now counted for the next
@@ -198,7 +198,7 @@
 std::uint64_t RouterTables::hashOf(const std::vector<const IndexedReplica*>& chosen, bool complete) const {
   std::uint64_t hash = complete ? 1 : 2;
   for (const IndexedReplica* replica : chosen) {
-    hash = combined(hash, replica->content_hash);
+    hash = combineHash(hash, replica->content_hash);
   }
   if (!complete) {
     for (const ReplicaId& replica : closed_) {
@@ -208,7 +208,8 @@
   return hash == 0 ? 1 : hash;
 }
 
-void RouterTables::list(wire::ServiceUpdate& update, const std::vector<const IndexedReplica*>& chosen) const {
+void RouterTables::appendReplicas(wire::ServiceUpdate& update,
+                                  const std::vector<const IndexedReplica*>& chosen) const {
   for (const IndexedReplica* replica : chosen) {
     update.replicas.push_back(replica->routed);
   }
@@ -226,7 +227,7 @@
 }
 
 void RouterTables::fill(wire::ServiceUpdate& update, const wire::CallRouterStatus& status, TimePoint now) {
-  const RouterPointer router = routers_.try_emplace(status.router).first;
+  const RouterIterator router = routers_.try_emplace(status.router).first;
   Router& state = router->second;
   state.incarnation = status.incarnation;
   const std::vector<const IndexedReplica*> chosen = choice_.choose(status, plain_services_);
@@ -237,10 +238,10 @@
   update.table = sent.table;
   update.confirm = state.confirm;
   const bool sent_last = !state.sent.empty() && state.sent.back().table == sent.table && !state.lost;
-  const bool found_held =
-      !sent_last && status.table == sent.table && (state.sent.empty() || now - state.sent_at >= kOnItsWay);
+  const bool found_held = !sent_last && status.table == sent.table &&
+                          (state.sent.empty() || now - state.sent_at >= kDeliveryTimeout);
   if (found_held) {
-    noteTable(router, std::move(sent));
+    recordTable(router, std::move(sent));
     while (state.sent.size() > 1) {
       dropOldest(router);
     }
@@ -248,7 +249,7 @@
     state.lost = false;
     state.confirm = false;
     ++confirmations_;
-    judge(router);
+    updateSettled(router);
     update.base = update.revision;
     return;
   }
@@ -256,15 +257,15 @@
     update.base = update.revision;
     return;
   }
-  list(update, chosen);
+  appendReplicas(update, chosen);
   state.sent_at = now;
   state.lost = false;
-  noteTable(router, std::move(sent));
-  judge(router);
+  recordTable(router, std::move(sent));
+  updateSettled(router);
 }
 
-std::optional<NodeName> RouterTables::firstUser(const ReplicaId& replica, std::uint64_t closing,
-                                                const std::function<bool(const NodeName&)>& counts) const {
+std::optional<NodeName> RouterTables::findUser(const ReplicaId& replica, std::uint64_t closing_count,
+                                               const std::function<bool(const NodeName&)>& counts) const {
   const auto users = users_.find(replica);
   if (users != users_.end()) {
     for (const auto& [name, tables] : users->second) {
@@ -275,7 +276,7 @@
   }
   for (const NodeName& name : unsettled_) {
     const Router& router = routers_.at(name);
-    const bool confirmed = router.known && router.sent.front().closings >= closing;
+    const bool confirmed = router.known && router.sent.front().closings >= closing_count;
     if (!confirmed && counts(name)) {
       return name;
     }
--- a/src/services/router_tables.h
+++ b/src/services/router_tables.h
@@ -40,9 +40,9 @@
   void accept(const wire::CallRouterStatus& status, TimePoint now);
   /// Applies changes of the index. Routers become due whose calls wait for a model with new replicas, or that
   /// may use a replica that was closed.
-  void follow(const ReplicaIndex::Changes& changes);
+  void applyChanges(const ReplicaIndex::Changes& changes);
   /// Makes all routers due whose calls wait for a model.
-  void tellWaiting();
+  void queueWaitingRouters();
   /// Returns and clears the routers that are due for an update at once.
   std::set<NodeName> takeDue() { return std::exchange(due_, {}); }
   bool hasDue() const { return !due_.empty(); }
@@ -60,9 +60,9 @@
   /// Counts the confirmations of tables by routers.
   std::uint64_t confirmations() const { return confirmations_; }
   /// Returns a router for which `counts` is true and that may still use the replica, which was closed when
-  /// closings() had the value `closing`; nullopt: none.
-  std::optional<NodeName> firstUser(const ReplicaId& replica, std::uint64_t closing,
-                                    const std::function<bool(const NodeName&)>& counts) const;
+  /// closings() had the value `closing_count`; nullopt: none.
+  std::optional<NodeName> findUser(const ReplicaId& replica, std::uint64_t closing_count,
+                                   const std::function<bool(const NodeName&)>& counts) const;
 
  private:
   /// A table that was sent to a router, or that the router reported to hold.
@@ -80,17 +80,17 @@
     bool lost = false;               ///< the last table counts as lost
     bool confirm = false;            ///< the router may use a replica that was closed
     std::uint64_t confirm_from = 0;  ///< minimum Sent::closings of a table that releases that replica
-    std::set<ModelKey> waits_for;
+    std::set<ModelKey> awaited_models;
   };
-  using RouterPointer = std::map<NodeName, Router>::iterator;
+  using RouterIterator = std::map<NodeName, Router>::iterator;
 
-  void clear(RouterPointer router);
-  void dropOldest(RouterPointer router);
-  void noteWaits(RouterPointer router, const wire::CallRouterStatus& status);
-  void noteTable(RouterPointer router, Sent sent);
+  void clear(RouterIterator router);
+  void dropOldest(RouterIterator router);
+  void setAwaitedModels(RouterIterator router, const wire::CallRouterStatus& status);
+  void recordTable(RouterIterator router, Sent sent);
   /// Updates whether the router is unsettled: it may use replicas that its tables here don't list.
-  void judge(RouterPointer router);
-  void list(wire::ServiceUpdate& update, const std::vector<const IndexedReplica*>& chosen) const;
+  void updateSettled(RouterIterator router);
+  void appendReplicas(wire::ServiceUpdate& update, const std::vector<const IndexedReplica*>& chosen) const;
   std::uint64_t hashOf(const std::vector<const IndexedReplica*>& chosen, bool complete) const;
 
   const ReplicaIndex& index_;
--- a/src/services/service_control.cc
+++ b/src/services/service_control.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kMemberHelloInterval = std::chrono::milliseconds(500);
-constexpr Duration kNewcomerHelloInterval = std::chrono::milliseconds(200);
+constexpr Duration kJoiningHelloInterval = std::chrono::milliseconds(200);
 constexpr Duration kExpiryInterval = std::chrono::milliseconds(500);
 /// A leader with a disk write that takes longer than this transfers its leadership.
 constexpr Duration kSlowWrite = std::chrono::seconds(1);
@@ -19,10 +19,10 @@
 /// replica is gone.
 constexpr Duration kFollowerSilence = std::chrono::seconds(60);
 
-CellKeeperSettings keeperSettings(const ServiceControlSettings& settings) {
-  CellKeeperSettings keeper;
-  keeper.wanted_voters = 2 * std::size_t{settings.losses_borne} + 1;
-  return keeper;
+CellMembershipSettings membershipSettings(const ServiceControlSettings& settings) {
+  CellMembershipSettings cell_settings;
+  cell_settings.target_voters = 2 * std::size_t{settings.losses_borne} + 1;
+  return cell_settings;
 }
 
 /// A member may start an election right after its start: quorum rounds confirm reads and notices, and orders
@@ -42,11 +42,11 @@
       self_(settings.control.log.node),
       node_(control::createControlNode(nodeSettings(settings.control), std::move(recovered),
                                        std::move(random), time_source)),
-      keeper_(keeperSettings(settings), time_source.monotonicTime()),
+      keeper_(membershipSettings(settings), time_source.monotonicTime()),
       known_nodes_(settings.seeds.begin(), settings.seeds.end()),
       next_hello_(time_source.monotonicTime()),
       next_expiry_(time_source.monotonicTime() + kExpiryInterval),
-      began_(time_source.monotonicTime()) {}
+      started_at_(time_source.monotonicTime()) {}
 
 Effects ServiceControlImpl::receive(const wire::Envelope& envelope, TimePoint now) {
   std::visit([&](const auto& message) { onMessage(envelope.from, message, now); }, envelope.message);
@@ -58,7 +58,7 @@
     return;
   }
   keeper_.onHello(hello, now);
-  takeContacts(from, hello, now);
+  applyContacts(from, hello, now);
   known_nodes_.insert(hello.node);
   if (consensus::findMember(node_->log().membership(), hello.id) == nullptr) {
     send(from, wire::MemberList{memberNodes(), node_->log().leader()});
@@ -71,10 +71,10 @@
 
 void ServiceControlImpl::onMessage(const NodeName&, const wire::ReplicaReports& reports, TimePoint now) {
   for (const wire::ReplicaReport& report : reports.reports) {
-    learn(report, now);
+    acceptReport(report, now);
   }
   for (const wire::ReplicaAlive& alive : reports.alive) {
-    registry_.noteAlive(alive, now);
+    registry_.recordHeartbeat(alive, now);
   }
 }
 
@@ -83,8 +83,8 @@
   origin.member = from;
   origin.number = request.number;
   if (leader_) {
-    const wire::ReplicaReport report = withCurrentLife(request.report);
-    learn(report, now);
+    const wire::ReplicaReport report = withCurrentIncarnation(request.report);
+    acceptReport(report, now);
     beginNotice(origin, report, now);
   } else {
     send(from, wire::LeaveReply{request.number, false});
@@ -96,7 +96,7 @@
   if (found == forwarded_.end()) {
     return;
   }
-  answer(found->second.question, reply.bound ? ResultCode::Ok : ResultCode::NotBoundEverywhere);
+  answer(found->second.request_number, reply.bound ? ResultCode::Ok : ResultCode::NotBoundEverywhere);
   forwarded_.erase(found);
 }
 
@@ -105,7 +105,7 @@
   if (status.router != from || !directory_.accept(status, now)) {
     return;
   }
-  compareCrashes(status, now);
+  syncCrashRecords(status, now);
   if (leader_) {
     leader_->receipts.onStatus(status, now);
     leader_->loads.accept(status, now);
@@ -126,7 +126,7 @@
   if (use.router != from || !leader_ || !node_->log().hasLease(now)) {
     return;
   }
-  followQuotas(now);
+  refreshQuotas(now);
   wire::QuotaAnswer answered = leader_->quotas.accept(use, now);
   if (!answered.decisions.empty()) {
     send(from, std::move(answered));
@@ -147,22 +147,22 @@
   }
 }
 
-void ServiceControlImpl::take(control::Effects effects, TimePoint now) {
+void ServiceControlImpl::applyEffects(control::Effects effects, TimePoint now) {
   for (control::Effect& effect : effects) {
-    std::visit([this, now](auto& typed) { takeOne(typed, now); }, effect);
+    std::visit([this, now](auto& typed) { applyEffect(typed, now); }, effect);
   }
 }
 
-void ServiceControlImpl::takeOne(wire::SendEffect& effect, TimePoint) {
+void ServiceControlImpl::applyEffect(wire::SendEffect& effect, TimePoint) {
   effects_.emplace_back(std::move(effect));
 }
 
-void ServiceControlImpl::takeOne(consensus::PersistEffect& effect, TimePoint now) {
+void ServiceControlImpl::applyEffect(consensus::PersistEffect& effect, TimePoint now) {
   open_writes_.push_back({effect.sequence, now});
   effects_.emplace_back(std::move(effect));
 }
 
-void ServiceControlImpl::takeOne(const control::ProposalDoneEffect& effect, TimePoint now) {
+void ServiceControlImpl::applyEffect(const control::ProposalDoneEffect& effect, TimePoint now) {
   const auto found = proposals_.find(effect.proposal_id);
   if (found == proposals_.end()) {
     return;
@@ -170,20 +170,20 @@
   const ProposalPurpose purpose = found->second;
   proposals_.erase(found);
   if (const auto* catalog = std::get_if<CatalogProposal>(&purpose)) {
-    onStateChanged(catalog->question, effect.result, now);
+    onStateChanged(catalog->request_number, effect.result, now);
   } else if (const auto* evacuation = std::get_if<EvacuationProposal>(&purpose)) {
-    onStateChanged(evacuation->question, effect.result, now);
+    onStateChanged(evacuation->request_number, effect.result, now);
   } else if (const auto* leaving = std::get_if<LeavingProposal>(&purpose)) {
     leaving_proposed_.erase(leaving->replica);
   } else if (const auto* quarantine = std::get_if<QuarantineProposal>(&purpose)) {
     quarantines_proposed_.erase(quarantine->call);
-    stored_changes_ = 0;
+    stored_crash_changes_ = 0;
   } else if (leader_) {
     leader_->membership_change_open = false;
   }
 }
 
-void ServiceControlImpl::takeOne(const control::ReadDoneEffect& effect, TimePoint now) {
+void ServiceControlImpl::applyEffect(const control::ReadDoneEffect& effect, TimePoint now) {
   const auto found = reads_.find(effect.read_id);
   if (found == reads_.end()) {
     return;
@@ -191,16 +191,17 @@
   const ReadPurpose purpose = found->second;
   reads_.erase(found);
   if (const auto* read = std::get_if<CatalogRead>(&purpose)) {
-    onCatalogRead(read->question, effect.confirmed);
-  } else if (const auto* held = std::get_if<StateHeld>(&purpose)) {
+    onCatalogRead(read->request_number, effect.confirmed);
+  } else if (const auto* held = std::get_if<StateInForce>(&purpose)) {
     if (effect.confirmed) {
-      holdAcknowledgement(held->question, now);
+      deferAcknowledgement(held->request_number, now);
     } else {
-      answer(held->question, ResultCode::NoQuorum, "leadership was lost before a quorum confirmed the state");
+      answer(held->request_number, ResultCode::NoQuorum,
+             "leadership was lost before a quorum confirmed the state");
     }
   } else {
     const auto of_read = [&effect](const LeaveNotice& notice) {
-      return notice.confirming && notice.read == effect.read_id;
+      return notice.confirmation_pending && notice.read == effect.read_id;
     };
     for (const LeaveNotice& notice : notices_.takeIf(of_read)) {
       answerNotice(notice, effect.confirmed);
@@ -216,11 +217,11 @@
   return consensus::findMember(node_->log().membership(), settings_.control.log.id) != nullptr;
 }
 
-void ServiceControlImpl::sayHello(TimePoint now) {
+void ServiceControlImpl::sendHello(TimePoint now) {
   if (now < next_hello_) {
     return;
   }
-  next_hello_ = now + (isMember() ? kMemberHelloInterval : kNewcomerHelloInterval);
+  next_hello_ = now + (isMember() ? kMemberHelloInterval : kJoiningHelloInterval);
   wire::MemberHello hello;
   hello.id = settings_.control.log.id;
   hello.node = self_;
@@ -232,7 +233,7 @@
     contacts = directory_.contacts(now);
   }
   for (const NodeName& node : peers()) {
-    sayContacts(hello, node, contacts);
+    addContacts(hello, node, contacts);
     send(node, hello);
   }
 }
@@ -258,26 +259,27 @@
   return leader == nullptr ? std::string() : leader->http;
 }
 
-void ServiceControlImpl::answer(QuestionNumber question, ResultCode code, std::string detail,
+void ServiceControlImpl::answer(QuestionNumber request_number, ResultCode code, std::string detail,
                                 std::string body) {
-  effects_.emplace_back(AnswerEffect{question, code, std::move(detail), std::move(body), leaderHttp(), {}});
+  effects_.emplace_back(
+      AnswerEffect{request_number, code, std::move(detail), std::move(body), leaderHttp(), {}});
 }
 
 std::uint64_t ServiceControlImpl::propose(ProposalPurpose purpose, wire::Command command, TimePoint now) {
   const std::uint64_t id = next_id_++;
   proposals_.emplace(id, std::move(purpose));
-  take(node_->propose(id, std::move(command), now), now);
+  applyEffects(node_->propose(id, std::move(command), now), now);
   return id;
 }
 
 void ServiceControlImpl::confirmRead(ReadPurpose purpose, TimePoint now) {
   const std::uint64_t id = next_id_++;
   reads_.emplace(id, purpose);
-  take(node_->confirmRead(id, now), now);
+  applyEffects(node_->confirmRead(id, now), now);
 }
 
 Effects ServiceControlImpl::tick(TimePoint now) {
-  take(node_->tick(now), now);
+  applyEffects(node_->tick(now), now);
   if (now >= relay_.due()) {
     flushRelay(now);
   }
@@ -295,13 +297,14 @@
       leader_->tables.keepRouters(directory_.routers());
       leader_->receipts.keepRouters(directory_.routers());
       leader_->quotas.keepRouters(directory_.routers());
-      leader_->quotas.followRouters(directory_.routers(), now - began_ >= settings_.quota_tolerance.window);
+      leader_->quotas.followRouters(directory_.routers(),
+                                    now - started_at_ >= settings_.quota_tolerance.window);
     }
   }
-  giveUpForwarded(now);
-  sayHello(now);
+  expireForwarded(now);
+  sendHello(now);
   if (node_->leads()) {
-    handOverIfDiskIsSlow(now);
+    transferLeadershipIfDiskIsSlow(now);
   }
   return finish(now);
 }
@@ -309,8 +312,8 @@
 TimePoint ServiceControlImpl::nextDeadline() const {
   TimePoint deadline = std::min({node_->nextDeadline(), relay_.due(), next_hello_, next_expiry_});
   deadline = std::min(deadline, notices_.nextDeadline());
-  for (const HeldAcknowledgement& held : held_acknowledgements_) {
-    deadline = std::min(deadline, held.deadline);
+  for (const PendingAcknowledgement& pending : pending_acknowledgements_) {
+    deadline = std::min(deadline, pending.deadline);
   }
   for (const auto& [number, forwarded] : forwarded_) {
     deadline = std::min(deadline, forwarded.deadline);
@@ -318,9 +321,9 @@
   if (leader_) {
     deadline = std::min(deadline, leader_->next_plan);
     if (!notices_.all().empty()) {
-      deadline = std::min(deadline, leader_->next_settle);
+      deadline = std::min(deadline, leader_->next_notice_check);
     }
-    if (hasNews() || owesUpdates()) {
+    if (hasPendingChanges() || hasQueuedUpdates()) {
       deadline = std::min(deadline, leader_->next_push);
     }
   }
@@ -331,14 +334,14 @@
   while (!open_writes_.empty() && open_writes_.front().sequence <= sequence) {
     open_writes_.pop_front();
   }
-  take(node_->onPersisted(sequence, now), now);
+  applyEffects(node_->onPersisted(sequence, now), now);
   return finish(now);
 }
 
 Effects ServiceControlImpl::onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) {
   if (leader_) {
     leader_->placer.onOrderDone(number, outcome, now);
-    hurryPlan(now);
+    expeditePlan(now);
   }
   return finish(now);
 }
@@ -347,27 +350,27 @@
                                         TimePoint now) {
   if (leader_) {
     leader_->placer.onInspected(number, state, now);
-    hurryPlan(now);
+    expeditePlan(now);
   }
   return finish(now);
 }
 
 /// A leader whose disk is full, hangs or is slow can't commit in time, while another member with the same log
 /// can.
-void ServiceControlImpl::handOverIfDiskIsSlow(TimePoint now) {
+void ServiceControlImpl::transferLeadershipIfDiskIsSlow(TimePoint now) {
   const bool slow = !open_writes_.empty() && now - open_writes_.front().since > kSlowWrite;
-  if (slow && now >= next_hand_over_) {
-    next_hand_over_ = now + kSlowWrite;
-    take(node_->beginStop(now), now);
+  if (slow && now >= next_leadership_transfer_) {
+    next_leadership_transfer_ = now + kSlowWrite;
+    applyEffects(node_->beginStop(now), now);
   }
 }
 
 Effects ServiceControlImpl::beginStop(TimePoint now) {
-  take(node_->beginStop(now), now);
+  applyEffects(node_->beginStop(now), now);
   return finish(now);
 }
 
-void ServiceControlImpl::followLeadership(TimePoint now) {
+void ServiceControlImpl::updateLeadership(TimePoint now) {
   const Term term = node_->log().term();
   const bool same = leader_ && node_->leads() && leader_->term == term;
   if (leader_ && !same) {
@@ -393,26 +396,27 @@
   for (const LeaveNotice& notice : notices_.takeIf([](const LeaveNotice&) { return true; })) {
     answerNotice(notice, false);
   }
-  for (const HeldAcknowledgement& held : std::exchange(held_acknowledgements_, {})) {
-    answer(held.question, ResultCode::NoQuorum, "leadership was lost before enough disks held the change");
+  for (const PendingAcknowledgement& pending : std::exchange(pending_acknowledgements_, {})) {
+    answer(pending.request_number, ResultCode::NoQuorum,
+           "leadership was lost before enough disks held the change");
   }
   leaving_proposed_.clear();
   quarantines_proposed_.clear();
 }
 
 Effects ServiceControlImpl::finish(TimePoint now) {
-  followLeadership(now);
-  followQuarantines(now);
-  followEvacuations();
-  followReplicas();
-  tellNewLeader(now);
+  updateLeadership(now);
+  mergeStoredQuarantines(now);
+  applyEvacuations();
+  applyReplicaChanges();
+  sendReportsToNewLeader(now);
   const CatalogVersion version = node_->hosted().catalog().version;
-  if (version != held_version_) {
-    held_version_ = version;
-    held_since_ = now;
+  if (version != committed_version_) {
+    committed_version_ = version;
+    committed_since_ = now;
   }
   if (leader_) {
-    leadOn(now);
+    runLeaderTasks(now);
   }
   return std::exchange(effects_, {});
 }
@@ -436,7 +440,7 @@
     view.quota = leader_->quotas.counts();
     view.limited_tenants = leader_->quotas.limited().size();
     view.limits = leader_->limits.counts();
-    view.limited_replicas = leader_->limits.limited();
+    view.limited_replicas = leader_->limits.activeCount();
   }
   return view;
 }
--- a/src/services/service_control.h
+++ b/src/services/service_control.h
@@ -102,20 +102,21 @@
   /// Replaces the catalog. The response is Ok once the catalog, or a higher version, is committed on enough
   /// disks; InvalidCatalog at once; NotLeader with the leader's address; or NoQuorum, which leaves the
   /// outcome unknown.
-  virtual Effects replaceCatalog(QuestionNumber question, wire::ServiceCatalog catalog, std::string source,
-                                 TimePoint now) = 0;
+  virtual Effects replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog,
+                                 std::string source, TimePoint now) = 0;
   /// Linearizable read of the catalog, from a state that a quorum confirmed after the request. Otherwise the
   /// response is NotLeader, NoQuorum or NoCatalog.
-  virtual Effects readCatalog(QuestionNumber question, TimePoint now) = 0;
+  virtual Effects readCatalog(QuestionNumber request_number, TimePoint now) = 0;
   /// Takes the zone's replicas out of use, or returns them to use. Responses as for replaceCatalog(), and
   /// UnknownZone. Routers in contact stop sending new calls there soon after; calls in flight continue.
-  virtual Effects evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated,
+  virtual Effects evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
                                TimePoint now) = 0;
   /// Evacuated zones according to this member's replicated state, which may lag behind the leader's.
   virtual std::vector<ZoneName> evacuatedZones() const = 0;
   /// Applies a replica's report. A heartbeat gets its response at once. A leave notice gets Ok once it binds
   /// every router in contact, or NotBoundEverywhere at its deadline.
-  virtual Effects onReport(QuestionNumber question, const wire::ReplicaReport& report, TimePoint now) = 0;
+  virtual Effects onReport(QuestionNumber request_number, const wire::ReplicaReport& report,
+                           TimePoint now) = 0;
 
   virtual Effects onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) = 0;
   virtual Effects onInspected(OrderNumber number, const std::optional<ReplicaState>& state,
--- a/src/services/service_control_catalog.cc
+++ b/src/services/service_control_catalog.cc
@@ -9,41 +9,41 @@
 namespace {
 
 /// Time limit for a committed change to reach enough disks, which may require a membership change first.
-constexpr Duration kAcknowledgementLimit = std::chrono::milliseconds(3500);
+constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(3500);
 /// The leader sends a new version to every reachable router within a round of updates, which takes 75 ms for
 /// 300 routers. A router that is behind for longer than this may have lost its connection to the leader.
-constexpr Duration kLeaderTellsWithin = std::chrono::milliseconds(500);
+constexpr Duration kLeaderDeliveryTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
-Effects ServiceControlImpl::replaceCatalog(QuestionNumber question, wire::ServiceCatalog catalog,
+Effects ServiceControlImpl::replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog,
                                            std::string source, TimePoint now) {
   try {
     checkCatalog(catalog);
   } catch (const Error& fault) {
-    answer(question, fault.code(), fault.what());
+    answer(request_number, fault.code(), fault.what());
     return finish(now);
   }
   if (node_->leads() && catalog.version <= node_->hosted().catalog().version) {
-    confirmRead(StateHeld{question}, now);
+    confirmRead(StateInForce{request_number}, now);
   } else {
-    propose(CatalogProposal{question}, wire::ReplaceCatalogCommand{std::move(catalog), std::move(source)},
-            now);
+    propose(CatalogProposal{request_number},
+            wire::ReplaceCatalogCommand{std::move(catalog), std::move(source)}, now);
   }
   return finish(now);
 }
 
-void ServiceControlImpl::onStateChanged(QuestionNumber question, const wire::CommandResult& result,
+void ServiceControlImpl::onStateChanged(QuestionNumber request_number, const wire::CommandResult& result,
                                         TimePoint now) {
   if (result.code == ResultCode::Ok) {
-    holdAcknowledgement(question, now);
+    deferAcknowledgement(request_number, now);
   } else {
-    answer(question, result.code, result.detail);
+    answer(request_number, result.code, result.detail);
   }
 }
 
-void ServiceControlImpl::holdAcknowledgement(QuestionNumber question, TimePoint now) {
-  held_acknowledgements_.push_back({question, now + kAcknowledgementLimit});
+void ServiceControlImpl::deferAcknowledgement(QuestionNumber request_number, TimePoint now) {
+  pending_acknowledgements_.push_back({request_number, now + kAcknowledgementTimeout});
 }
 
 /// Returns true if the disks that hold a committed entry outnumber the disk losses to be tolerated. A
@@ -55,46 +55,46 @@
   return leader_ && !leader_->membership_change_open && majority > settings_.losses_borne;
 }
 
-void ServiceControlImpl::settleAcknowledgements(TimePoint now) {
+void ServiceControlImpl::checkAcknowledgements(TimePoint now) {
   const bool enough = onEnoughDisks();
-  std::erase_if(held_acknowledgements_, [&](const HeldAcknowledgement& held) {
+  std::erase_if(pending_acknowledgements_, [&](const PendingAcknowledgement& pending) {
     if (enough) {
-      answer(held.question, ResultCode::Ok);
-    } else if (now >= held.deadline) {
-      answer(held.question, ResultCode::NoQuorum,
+      answer(pending.request_number, ResultCode::Ok);
+    } else if (now >= pending.deadline) {
+      answer(pending.request_number, ResultCode::NoQuorum,
              "the cell has too few voters to tolerate " + std::to_string(settings_.losses_borne) +
                  " disk losses, or a membership change is pending");
     }
-    return enough || now >= held.deadline;
+    return enough || now >= pending.deadline;
   });
 }
 
 /// Sends the catalog to a router that the leader apparently can't reach. A router without any catalog gets
 /// its first one from the leader, together with the replicas that it needs.
 void ServiceControlImpl::offerCatalog(const wire::CallRouterStatus& status, TimePoint now) {
-  const bool behind = status.catalog != CatalogVersion{} && status.catalog < held_version_;
-  if (behind && now - held_since_ >= kLeaderTellsWithin) {
+  const bool behind = status.catalog != CatalogVersion{} && status.catalog < committed_version_;
+  if (behind && now - committed_since_ >= kLeaderDeliveryTimeout) {
     send(status.router, wire::CatalogUpdate{catalogForRouters(node_->hosted().catalog())});
   }
 }
 
-Effects ServiceControlImpl::readCatalog(QuestionNumber question, TimePoint now) {
+Effects ServiceControlImpl::readCatalog(QuestionNumber request_number, TimePoint now) {
   if (node_->leads()) {
-    confirmRead(CatalogRead{question}, now);
+    confirmRead(CatalogRead{request_number}, now);
   } else {
-    answer(question, leaderHttp().empty() ? ResultCode::NoQuorum : ResultCode::NotLeader,
+    answer(request_number, leaderHttp().empty() ? ResultCode::NoQuorum : ResultCode::NotLeader,
            "this member doesn't lead the cell");
   }
   return finish(now);
 }
 
-void ServiceControlImpl::onCatalogRead(QuestionNumber question, bool confirmed) {
+void ServiceControlImpl::onCatalogRead(QuestionNumber request_number, bool confirmed) {
   if (!confirmed) {
-    answer(question, ResultCode::NoQuorum, "leadership was lost before the read was confirmed");
+    answer(request_number, ResultCode::NoQuorum, "leadership was lost before the read was confirmed");
   } else if (node_->hosted().catalog().version == CatalogVersion{}) {
-    answer(question, ResultCode::NoCatalog, "no catalog has been committed yet");
+    answer(request_number, ResultCode::NoCatalog, "no catalog has been committed yet");
   } else {
-    answer(question, ResultCode::Ok, {}, node_->hosted().source());
+    answer(request_number, ResultCode::Ok, {}, node_->hosted().source());
   }
 }
 
--- a/src/services/service_control_crashes.cc
+++ b/src/services/service_control_crashes.cc
@@ -11,39 +11,39 @@
 
 /// Routers without contact for longer than this aren't notified; they receive missing records after their
 /// next status.
-constexpr Duration kReachedFor = std::chrono::milliseconds(1500);
+constexpr Duration kContactTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
 void ServiceControlImpl::onMessage(const NodeName&, const wire::CrashRecords& records, TimePoint now) {
-  std::vector<wire::CrashRecord> news;
+  std::vector<wire::CrashRecord> changed_records;
   for (const wire::CrashRecord& record : records.records) {
     if (!crashes_.merge(record, now)) {
       continue;
     }
     wire::CrashRecord merged = crashes_.record(record.call, now);
     if (quarantine::CrashLedger::isShared(merged)) {
-      news.push_back(std::move(merged));
+      changed_records.push_back(std::move(merged));
     }
   }
-  tellRouters(news, now);
+  notifyRouters(changed_records, now);
 }
 
 /// Sends records to all routers with recent contact. The leader does this; without a known leader, every
 /// member does.
-void ServiceControlImpl::tellRouters(const std::vector<wire::CrashRecord>& news, TimePoint now) {
+void ServiceControlImpl::notifyRouters(const std::vector<wire::CrashRecord>& changed_records, TimePoint now) {
   const bool tells = leader_.has_value() || node_->log().leader().empty();
-  if (news.empty() || !tells) {
+  if (changed_records.empty() || !tells) {
     return;
   }
   for (const auto& [router, record] : directory_.routers()) {
-    if (now - record.heard <= kReachedFor) {
-      send(router, wire::CrashRecords{news, false});
+    if (now - record.last_contact <= kContactTimeout) {
+      send(router, wire::CrashRecords{changed_records, false});
     }
   }
 }
 
-void ServiceControlImpl::compareCrashes(const wire::CallRouterStatus& status, TimePoint now) {
+void ServiceControlImpl::syncCrashRecords(const wire::CallRouterStatus& status, TimePoint now) {
   if (status.crash_digest != crashes_.digest()) {
     send(status.router, wire::CrashRecords{crashes_.shared(now), true});
   }
@@ -60,26 +60,26 @@
 
 Effects ServiceControlImpl::releaseCall(const wire::CallFingerprint& call, TimePoint now) {
   if (crashes_.noteAnswer(call)) {
-    tellRouters({crashes_.record(call, now)}, now);
+    notifyRouters({crashes_.record(call, now)}, now);
   }
   return finish(now);
 }
 
-void ServiceControlImpl::followQuarantines(TimePoint now) {
-  if (node_->hosted().quarantineChanges() == followed_quarantines_) {
+void ServiceControlImpl::mergeStoredQuarantines(TimePoint now) {
+  if (node_->hosted().quarantineChanges() == merged_quarantine_changes_) {
     return;
   }
-  followed_quarantines_ = node_->hosted().quarantineChanges();
+  merged_quarantine_changes_ = node_->hosted().quarantineChanges();
   for (const auto& [call, record] : node_->hosted().quarantined()) {
     crashes_.merge(record, now);
   }
 }
 
 void ServiceControlImpl::storeQuarantines(TimePoint now) {
-  if (crashes_.changes() == stored_changes_ || !node_->log().hasLease(now)) {
+  if (crashes_.changes() == stored_crash_changes_ || !node_->log().hasLease(now)) {
     return;
   }
-  stored_changes_ = crashes_.changes();
+  stored_crash_changes_ = crashes_.changes();
   const auto stored = node_->hosted().quarantined();
   for (const wire::CallFingerprint& call : crashes_.quarantined()) {
     if (!stored.contains(call) && quarantines_proposed_.insert(call).second) {
--- a/src/services/service_control_impl.h
+++ b/src/services/service_control_impl.h
@@ -43,12 +43,13 @@
   Effects tick(TimePoint now) override;
   TimePoint nextDeadline() const override;
   Effects onPersisted(std::uint64_t sequence, TimePoint now) override;
-  Effects replaceCatalog(QuestionNumber question, wire::ServiceCatalog catalog, std::string source,
+  Effects replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog, std::string source,
                          TimePoint now) override;
-  Effects readCatalog(QuestionNumber question, TimePoint now) override;
-  Effects evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated, TimePoint now) override;
+  Effects readCatalog(QuestionNumber request_number, TimePoint now) override;
+  Effects evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
+                       TimePoint now) override;
   std::vector<ZoneName> evacuatedZones() const override;
-  Effects onReport(QuestionNumber question, const wire::ReplicaReport& report, TimePoint now) override;
+  Effects onReport(QuestionNumber request_number, const wire::ReplicaReport& report, TimePoint now) override;
   Effects onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) override;
   Effects onInspected(OrderNumber number, const std::optional<ReplicaState>& state, TimePoint now) override;
   std::vector<SuspectedCall> suspectedCalls(TimePoint now) const override;
@@ -64,7 +65,7 @@
  private:
   // Purposes of proposals and quorum reads.
   struct CatalogProposal {
-    QuestionNumber question;
+    QuestionNumber request_number;
   };
   struct LeavingProposal {
     ReplicaId replica;
@@ -74,29 +75,29 @@
     wire::CallFingerprint call;
   };
   struct EvacuationProposal {
-    QuestionNumber question;
+    QuestionNumber request_number;
   };
   using ProposalPurpose = std::variant<CatalogProposal, LeavingProposal, MembershipProposal,
                                        QuarantineProposal, EvacuationProposal>;
   struct CatalogRead {
-    QuestionNumber question;
+    QuestionNumber request_number;
   };
   /// The requested state is in force already: a catalog at least as new, or the zone's state.
-  struct StateHeld {
-    QuestionNumber question;
+  struct StateInForce {
+    QuestionNumber request_number;
   };
   struct NoticeRead {};
-  using ReadPurpose = std::variant<CatalogRead, StateHeld, NoticeRead>;
+  using ReadPurpose = std::variant<CatalogRead, StateInForce, NoticeRead>;
 
   /// A pending response to a catalog replacement or an evacuation that is committed, but not yet on enough
   /// disks.
-  struct HeldAcknowledgement {
-    QuestionNumber question;
+  struct PendingAcknowledgement {
+    QuestionNumber request_number;
     TimePoint deadline{};
   };
   /// A leave notice that was forwarded to the leader.
   struct ForwardedNotice {
-    QuestionNumber question;
+    QuestionNumber request_number;
     TimePoint deadline{};
   };
   /// A write that hasn't been confirmed as synced.
@@ -113,7 +114,7 @@
           feed(own_term, registry),
           tables(index),
           placer(placer_settings, registry, demand),
-          spread(router_out_of_touch),
+          rollout(router_out_of_touch),
           quotas(quota_tolerance, now),
           since(now) {}
     Term term;
@@ -124,26 +125,26 @@
     balance::LoadTally loads;
     ModelPlacer placer;
     UpdateLedger updates;
-    CatalogSpread spread;
+    CatalogRollout rollout;
     StatusReceipts receipts;
     ProofRequests proof_requests;
     tenancy::QuotaLedger quotas;
     LimitLedger limits;
     CatalogVersion quota_version;              ///< version of the catalog whose limits `quotas` applies
     std::map<ZoneName, FeedContext> contexts;  ///< cached, by the zone of the routers
-    TimePoint contexts_taken{};                ///< when the cache was last cleared
+    TimePoint contexts_cleared_at{};           ///< when the cache was last cleared
     TimePoint since;                           ///< start of this leadership
     bool complete = false;                     ///< every replica that is alive has had time to report
     std::uint64_t pushed_changes = 0;          ///< ReplicaRegistry::changes() of the last push
     std::uint64_t pushed_loads = 0;            ///< the placer's loadsBegun() of the last push
     CatalogVersion pushed_version;             ///< catalog version of the last push
     TimePoint next_push{};
-    bool push_to_all = false;  ///< pending changes can't wait for the next status of each router
-    UpdateQueue awaited;       ///< routers with updates that calls or leave notices wait for
-    UpdateQueue unanswered;    ///< other routers that need an update
-    TimePoint next_settle{};   ///< next check of leave notices
+    bool push_to_all = false;       ///< pending changes can't wait for the next status of each router
+    UpdateQueue urgent_updates;     ///< routers with updates that calls or leave notices wait for
+    UpdateQueue regular_updates;    ///< other routers that need an update
+    TimePoint next_notice_check{};  ///< next check of leave notices
     TimePoint next_plan{};
-    TimePoint planned{};  ///< time of the last plan
+    TimePoint last_plan{};  ///< time of the last plan
     bool membership_change_open = false;
     TimePoint next_membership_change{};
   };
@@ -160,34 +161,34 @@
   void onMessage(const NodeName& from, const wire::LimitRequest& request, TimePoint now);
   template <class OtherMessage>
   void onMessage(const NodeName& from, const OtherMessage& message, TimePoint now) {
-    take(node_->receive({from, message}, now), now);
+    applyEffects(node_->receive({from, message}, now), now);
   }
-  void take(control::Effects effects, TimePoint now);
-  void takeOne(wire::SendEffect& effect, TimePoint now);
-  void takeOne(consensus::PersistEffect& effect, TimePoint now);
-  void takeOne(const control::ProposalDoneEffect& effect, TimePoint now);
-  void takeOne(const control::ReadDoneEffect& effect, TimePoint now);
+  void applyEffects(control::Effects effects, TimePoint now);
+  void applyEffect(wire::SendEffect& effect, TimePoint now);
+  void applyEffect(consensus::PersistEffect& effect, TimePoint now);
+  void applyEffect(const control::ProposalDoneEffect& effect, TimePoint now);
+  void applyEffect(const control::ReadDoneEffect& effect, TimePoint now);
   /// Ignores effects on the engines of the settings tree, which hosted services don't use.
   template <class EngineEffect>
-  void takeOne(const EngineEffect&, TimePoint) {}
+  void applyEffect(const EngineEffect&, TimePoint) {}
   void send(const NodeName& to, wire::Message message);
-  void sayHello(TimePoint now);
+  void sendHello(TimePoint now);
   bool isMember() const;
   bool hearsLeader() const { return node_->leads() || !node_->log().leader().empty(); }
   std::string leaderHttp() const;
-  void answer(QuestionNumber question, ResultCode code, std::string detail = {}, std::string body = {});
+  void answer(QuestionNumber request_number, ResultCode code, std::string detail = {}, std::string body = {});
   Effects finish(TimePoint now);
-  void followLeadership(TimePoint now);
-  void handOverIfDiskIsSlow(TimePoint now);
+  void updateLeadership(TimePoint now);
+  void transferLeadershipIfDiskIsSlow(TimePoint now);
   void endLeadership();
   std::uint64_t propose(ProposalPurpose purpose, wire::Command command, TimePoint now);
   void confirmRead(ReadPurpose purpose, TimePoint now);
 
   // service_control_catalog.cc
-  void onStateChanged(QuestionNumber question, const wire::CommandResult& result, TimePoint now);
-  void onCatalogRead(QuestionNumber question, bool confirmed);
-  void holdAcknowledgement(QuestionNumber question, TimePoint now);
-  void settleAcknowledgements(TimePoint now);
+  void onStateChanged(QuestionNumber request_number, const wire::CommandResult& result, TimePoint now);
+  void onCatalogRead(QuestionNumber request_number, bool confirmed);
+  void deferAcknowledgement(QuestionNumber request_number, TimePoint now);
+  void checkAcknowledgements(TimePoint now);
   void offerCatalog(const wire::CallRouterStatus& status, TimePoint now);
   bool onEnoughDisks() const;
 
@@ -195,31 +196,31 @@
   bool isKnownZone(const ZoneName& zone) const;
   /// Applies the evacuated zones of the replicated state to the registry. Every member does this, so that a
   /// new leader excludes replicas of evacuated zones from router tables and from placement at once.
-  void followEvacuations();
+  void applyEvacuations();
 
   // service_control_replicas.cc
-  wire::ReplicaReport withCurrentLife(const wire::ReplicaReport& told) const;
+  wire::ReplicaReport withCurrentIncarnation(const wire::ReplicaReport& report_or_notice) const;
   bool isConfigured(const ServiceName& service) const;
-  ReportNews learn(const wire::ReplicaReport& report, TimePoint now);
+  ReportOutcome acceptReport(const wire::ReplicaReport& report, TimePoint now);
   std::string nextReportAddress(const ReplicaId& replica, TimePoint now) const;
   void flushRelay(TimePoint now);
-  void tellNewLeader(TimePoint now);
+  void sendReportsToNewLeader(TimePoint now);
   void beginNotice(NoticeOrigin origin, const wire::ReplicaReport& report, TimePoint now);
   void answerNotice(const LeaveNotice& notice, bool bound, std::string detail = {});
-  std::string whatUnbinds(const LeaveNotice& notice, TimePoint now) const;
-  void settleNotices(TimePoint now);
+  std::string describePendingNotice(const LeaveNotice& notice, TimePoint now) const;
+  void checkNotices(TimePoint now);
   void closeForNotice(LeaveNotice& notice);
   bool holdsOrOutOfTouch(const RouterRecord& record, LogIndex revision, TimePoint now) const;
   bool routersHold(const LeaveNotice& notice, TimePoint now) const;
   bool isSubscriberInTouch(const NodeName& router, TimePoint now) const;
-  void giveUpForwarded(TimePoint now);
+  void expireForwarded(TimePoint now);
 
   // service_control_crashes.cc
   /// Sends all shared crash records to a router whose digest of them differs from this member's.
-  void compareCrashes(const wire::CallRouterStatus& status, TimePoint now);
-  void tellRouters(const std::vector<wire::CrashRecord>& news, TimePoint now);
+  void syncCrashRecords(const wire::CallRouterStatus& status, TimePoint now);
+  void notifyRouters(const std::vector<wire::CrashRecord>& changed_records, TimePoint now);
   /// Merges the quarantined calls of the replicated state into the crash ledger.
-  void followQuarantines(TimePoint now);
+  void mergeStoredQuarantines(TimePoint now);
   /// Proposes log entries for quarantines and releases in the crash ledger, since only the log survives a
   /// crash of all members.
   void storeQuarantines(TimePoint now);
@@ -231,42 +232,42 @@
   Duration leaderStatusInterval() const;
   Duration memberStatusInterval() const;
   /// A router without contact for longer than this gets no updates.
-  Duration reachedFor() const;
+  Duration contactTimeout() const;
   bool subscribes(const wire::CallRouterStatus& status) const;
   void beginSubscriptions();
-  void followReplicas();
+  void applyReplicaChanges();
   bool needsPlan(const wire::CallRouterStatus& status) const;
-  void sayContacts(wire::MemberHello& hello, const NodeName& node,
+  void addContacts(wire::MemberHello& hello, const NodeName& node,
                    const std::vector<wire::RouterContact>& contacts) const;
-  void takeContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now);
+  void applyContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now);
 
   // service_control_updates.cc
   void updateRouter(const wire::CallRouterStatus& status, TimePoint now);
-  bool owedUpdate(const wire::CallRouterStatus& status, TimePoint now);
+  bool needsUpdate(const wire::CallRouterStatus& status, TimePoint now);
   /// Returns the number of replicas that the update lists.
   std::size_t sendUpdate(const wire::CallRouterStatus& status, TimePoint now);
   /// Returns the loads of all replicas if the router is due for them.
   std::optional<std::vector<wire::ReplicaLoad>> loadsFor(const NodeName& router, TimePoint now);
-  std::vector<wire::ComingModel> comingFor(const wire::CallRouterStatus& status, TimePoint now);
+  std::vector<wire::ComingModel> expectedLoadsFor(const wire::CallRouterStatus& status, TimePoint now);
   bool awaitsConfirmation(const wire::CallRouterStatus& status) const;
-  bool hasNews() const;
-  bool owesUpdates() const;
+  bool hasPendingChanges() const;
+  bool hasQueuedUpdates() const;
   void pushTables(TimePoint now);
   void queueUpdates();
-  std::optional<NodeName> nextToTell();
-  bool isReached(const RouterRecord& record, TimePoint now) const;
+  std::optional<NodeName> takeNextRouter();
+  bool isReachable(const RouterRecord& record, TimePoint now) const;
 
   // service_control_leader.cc
-  void leadOn(TimePoint now);
-  void hurryPlan(TimePoint now);
-  Duration leastPlanInterval() const;
+  void runLeaderTasks(TimePoint now);
+  void expeditePlan(TimePoint now);
+  Duration minPlanInterval() const;
   void planModels(TimePoint now);
-  void mendMembership(TimePoint now);
+  void repairMembership(TimePoint now);
   const FeedContext& feedContext(const ZoneName& zone, TimePoint now);
   std::vector<NodeName> memberNodes() const;
-  void followSpread(TimePoint now);
-  void proveCatalogs(TimePoint now);
-  void followQuotas(TimePoint now);
+  void reportCatalogRollout(TimePoint now);
+  void queueCatalogProofs(TimePoint now);
+  void refreshQuotas(TimePoint now);
 
   ServiceControlSettings settings_;
   NodeName self_;
@@ -280,23 +281,24 @@
   std::map<std::uint64_t, ProposalPurpose> proposals_;
   std::map<std::uint64_t, ReadPurpose> reads_;
   std::set<ReplicaId> leaving_proposed_;
-  std::vector<HeldAcknowledgement> held_acknowledgements_;
-  CatalogVersion held_version_;  ///< newest catalog version that is known to be committed
-  TimePoint held_since_{};       ///< when this member learned of it
+  std::vector<PendingAcknowledgement> pending_acknowledgements_;
+  CatalogVersion committed_version_;  ///< newest catalog version that is known to be committed
+  TimePoint committed_since_{};       ///< when this member learned of it
   std::map<std::uint64_t, ForwardedNotice> forwarded_;
   quarantine::CrashLedger crashes_;
-  std::uint64_t followed_quarantines_ = 0;  ///< HostedServices::quarantineChanges() merged into the ledger
-  std::uint64_t stored_changes_ = 0;        ///< CrashLedger::changes() processed by storeQuarantines()
+  std::uint64_t merged_quarantine_changes_ =
+      0;                                    ///< HostedServices::quarantineChanges() merged into the ledger
+  std::uint64_t stored_crash_changes_ = 0;  ///< CrashLedger::changes() processed by storeQuarantines()
   std::set<wire::CallFingerprint> quarantines_proposed_;
   ReplicaIndex index_;
   ReportRelay relay_;
-  NodeName told_leader_;  ///< last leader that tellNewLeader() ran for
-  Term told_term_;        ///< term of that leader
+  NodeName reported_leader_;  ///< last leader that sendReportsToNewLeader() ran for
+  Term reported_term_;        ///< term of that leader
   TimePoint next_hello_;
   TimePoint next_expiry_;
-  TimePoint began_;                    ///< start of this process
+  TimePoint started_at_;               ///< start of this process
   std::deque<OpenWrite> open_writes_;  ///< oldest first
-  TimePoint next_hand_over_{};
+  TimePoint next_leadership_transfer_{};
   std::uint64_t next_id_ = 1;
   Effects effects_;
 };
--- a/src/services/service_control_leader.cc
+++ b/src/services/service_control_leader.cc
@@ -8,15 +8,15 @@
 
 constexpr Duration kPlanInterval = std::chrono::milliseconds(100);
 /// Minimum time between plans of a large fleet that are expedited for waiting calls.
-constexpr Duration kHurriedPlanInterval = std::chrono::milliseconds(20);
+constexpr Duration kExpeditedPlanInterval = std::chrono::milliseconds(20);
 /// Each plan scans all replicas; plans are spaced so that no more than this many replicas are scanned per
 /// second.
 constexpr double kReplicasPlannedPerSecond = 100'000;
-constexpr Duration kMembershipPause = std::chrono::milliseconds(100);
+constexpr Duration kMembershipChangeInterval = std::chrono::milliseconds(100);
 /// Maximum number of addresses in the directory that routers receive.
-constexpr std::size_t kMostAddresses = 64;
+constexpr std::size_t kMaxDirectoryAddresses = 64;
 /// Time to live of the cached FeedContext with the members and the directory.
-constexpr Duration kContextLasts = std::chrono::milliseconds(50);
+constexpr Duration kContextTtl = std::chrono::milliseconds(50);
 
 std::vector<ServiceName> plainServices(const wire::ServiceCatalog& catalog) {
   std::vector<ServiceName> services;
@@ -30,33 +30,33 @@
 
 }  // namespace
 
-void ServiceControlImpl::leadOn(TimePoint now) {
+void ServiceControlImpl::runLeaderTasks(TimePoint now) {
   if (!leader_->complete && now - leader_->since > settings_.replica_silence) {
     leader_->complete = true;
     leader_->contexts.clear();
-    registry_.renewAll();
+    registry_.forceFullUpdates();
   }
-  settleNotices(now);
-  followQuotas(now);
+  checkNotices(now);
+  refreshQuotas(now);
   planModels(now);
-  proveCatalogs(now);
+  queueCatalogProofs(now);
   pushTables(now);
-  mendMembership(now);
-  settleAcknowledgements(now);
-  followSpread(now);
+  repairMembership(now);
+  checkAcknowledgements(now);
+  reportCatalogRollout(now);
   storeQuarantines(now);
 }
 
-void ServiceControlImpl::followSpread(TimePoint now) {
+void ServiceControlImpl::reportCatalogRollout(TimePoint now) {
   const CatalogVersion version = node_->hosted().catalog().version;
-  if (auto spread = leader_->spread.look(version, directory_.routers(), now)) {
-    effects_.emplace_back(std::move(*spread));
+  if (auto rollout = leader_->rollout.poll(version, directory_.routers(), now)) {
+    effects_.emplace_back(std::move(*rollout));
   }
 }
 
 /// Queues updates for routers whose catalog proof is missing or about to expire, ahead of their next regular
 /// update.
-void ServiceControlImpl::proveCatalogs(TimePoint now) {
+void ServiceControlImpl::queueCatalogProofs(TimePoint now) {
   if (leader_->proof_requests.empty() || !node_->log().hasLease(now)) {
     return;
   }
@@ -65,13 +65,13 @@
     return;
   }
   for (const NodeName& router : leader_->proof_requests.takeAnswerable(*followed)) {
-    leader_->awaited.add(router);
+    leader_->urgent_updates.add(router);
   }
 }
 
 /// Updates the quotas from the catalog. A change of the set of limited tenants is pushed to all routers at
 /// once.
-void ServiceControlImpl::followQuotas(TimePoint now) {
+void ServiceControlImpl::refreshQuotas(TimePoint now) {
   const wire::ServiceCatalog& catalog = node_->hosted().catalog();
   if (catalog.version != leader_->quota_version) {
     leader_->quota_version = catalog.version;
@@ -93,31 +93,31 @@
 
 /// Returns the cached context of a zone: many statuses and pushes in a short time need the same one.
 const FeedContext& ServiceControlImpl::feedContext(const ZoneName& zone, TimePoint now) {
-  if (now - leader_->contexts_taken >= kContextLasts) {
+  if (now - leader_->contexts_cleared_at >= kContextTtl) {
     leader_->contexts.clear();
-    leader_->contexts_taken = now;
+    leader_->contexts_cleared_at = now;
   }
   const auto known = leader_->contexts.find(zone);
   if (known != leader_->contexts.end()) {
     return known->second;
   }
   const std::size_t routers = std::max<std::size_t>(1, directory_.acceptingCount(now));
-  std::vector<std::string> directory = directory_.addresses(zone, now, kMostAddresses);
+  std::vector<std::string> directory = directory_.addresses(zone, now, kMaxDirectoryAddresses);
   const std::uint64_t digest = wire::directoryDigest(directory);
   FeedContext context{node_->hosted().catalog(), memberNodes(),        static_cast<std::uint32_t>(routers),
                       leader_->complete,         std::move(directory), digest};
   return leader_->contexts.emplace(zone, std::move(context)).first->second;
 }
 
-Duration ServiceControlImpl::leastPlanInterval() const {
+Duration ServiceControlImpl::minPlanInterval() const {
   const double seconds = static_cast<double>(registry_.replicas().size()) / kReplicasPlannedPerSecond;
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
 /// Expedites the next plan. In a large fleet the time between plans stays bounded however many calls wait.
-void ServiceControlImpl::hurryPlan(TimePoint now) {
-  const Duration hurried = std::max(kHurriedPlanInterval, leastPlanInterval());
-  const TimePoint soon = !isLargeFleet() ? now : std::max(now, leader_->planned + hurried);
+void ServiceControlImpl::expeditePlan(TimePoint now) {
+  const Duration min_interval = std::max(kExpeditedPlanInterval, minPlanInterval());
+  const TimePoint soon = !isLargeFleet() ? now : std::max(now, leader_->last_plan + min_interval);
   leader_->next_plan = std::min(leader_->next_plan, soon);
 }
 
@@ -125,8 +125,8 @@
   if (now < leader_->next_plan || !node_->log().hasLease(now)) {
     return;
   }
-  leader_->next_plan = now + std::max(kPlanInterval, leastPlanInterval());
-  leader_->planned = now;
+  leader_->next_plan = now + std::max(kPlanInterval, minPlanInterval());
+  leader_->last_plan = now;
   leader_->demand.fade(now);
   const std::set<ReplicaId> unreachable = directory_.unreachable(now);
   if (settings_.tells_loads) {
@@ -137,7 +137,7 @@
   }
 }
 
-void ServiceControlImpl::mendMembership(TimePoint now) {
+void ServiceControlImpl::repairMembership(TimePoint now) {
   if (leader_->membership_change_open || now < leader_->next_membership_change) {
     return;
   }
@@ -146,10 +146,10 @@
     return;
   }
   leader_->membership_change_open = true;
-  leader_->next_membership_change = now + kMembershipPause;
+  leader_->next_membership_change = now + kMembershipChangeInterval;
   const std::uint64_t id = next_id_++;
   proposals_.emplace(id, MembershipProposal{});
-  take(node_->changeMembership(id, *change, now), now);
+  applyEffects(node_->changeMembership(id, *change, now), now);
 }
 
 }  // namespace ferryrock::services
--- a/src/services/service_control_replicas.cc
+++ b/src/services/service_control_replicas.cc
@@ -8,39 +8,39 @@
 namespace {
 
 /// A replica waits about a second for a response before it tries another member; both limits are below that.
-constexpr Duration kNoticeLimit = std::chrono::milliseconds(850);
-constexpr Duration kForwardLimit = std::chrono::milliseconds(900);
+constexpr Duration kNoticeTimeout = std::chrono::milliseconds(850);
+constexpr Duration kForwardTimeout = std::chrono::milliseconds(900);
 /// A new leader has received a status of every router in contact within this time.
-constexpr Duration kRoutersReport = std::chrono::milliseconds(1500);
+constexpr Duration kRouterReportPeriod = std::chrono::milliseconds(1500);
 /// Minimum time between two checks of pending leave notices in a large fleet.
-constexpr Duration kSettleInterval = std::chrono::milliseconds(10);
+constexpr Duration kNoticeCheckInterval = std::chrono::milliseconds(10);
 
 }  // namespace
 
-Effects ServiceControlImpl::onReport(QuestionNumber question, const wire::ReplicaReport& told,
-                                     TimePoint now) {
-  const wire::ReplicaReport report = withCurrentLife(told);
-  const ReportNews news = learn(report, now);
-  if (news != ReportNews::Late) {
-    relay_.onReport(report, news == ReportNews::Changed, hasManyReplicas(), now);
+Effects ServiceControlImpl::onReport(QuestionNumber request_number,
+                                     const wire::ReplicaReport& report_or_notice, TimePoint now) {
+  const wire::ReplicaReport report = withCurrentIncarnation(report_or_notice);
+  const ReportOutcome outcome = acceptReport(report, now);
+  if (outcome != ReportOutcome::Stale) {
+    relay_.onReport(report, outcome == ReportOutcome::Changed, hasManyReplicas(), now);
     if (now >= relay_.due()) {
       flushRelay(now);
     }
   }
   if (!hearsLeader()) {
     // The report was applied above nevertheless, so that the next leader's first tables contain the replica.
-    answer(question, ResultCode::NoQuorum, "this member has no contact with a leader");
+    answer(request_number, ResultCode::NoQuorum, "this member has no contact with a leader");
   } else if (!report.leaving) {
-    effects_.emplace_back(
-        AnswerEffect{question, ResultCode::Ok, {}, {}, leaderHttp(), nextReportAddress(report.id, now)});
+    effects_.emplace_back(AnswerEffect{
+        request_number, ResultCode::Ok, {}, {}, leaderHttp(), nextReportAddress(report.id, now)});
   } else if (node_->leads()) {
-    followLeadership(now);
+    updateLeadership(now);
     NoticeOrigin origin;
-    origin.question = question.value;
+    origin.local_request = request_number.value;
     beginNotice(origin, report, now);
   } else {
     const std::uint64_t number = next_id_++;
-    forwarded_.emplace(number, ForwardedNotice{question, now + kForwardLimit});
+    forwarded_.emplace(number, ForwardedNotice{request_number, now + kForwardTimeout});
     send(node_->log().leader(), wire::LeaveRequest{number, report});
   }
   return finish(now);
@@ -64,10 +64,11 @@
 }
 
 /// A bare leave notice identifies its replica by name, without the start time of its incarnation.
-wire::ReplicaReport ServiceControlImpl::withCurrentLife(const wire::ReplicaReport& told) const {
-  wire::ReplicaReport report = told;
+wire::ReplicaReport ServiceControlImpl::withCurrentIncarnation(
+    const wire::ReplicaReport& report_or_notice) const {
+  wire::ReplicaReport report = report_or_notice;
   if (report.address.empty()) {
-    report.id = registry_.currentLife(report.id);
+    report.id = registry_.currentIncarnation(report.id);
   }
   return report;
 }
@@ -80,20 +81,20 @@
                      [&service](const wire::HostedService& hosted) { return hosted.name == service; });
 }
 
-ReportNews ServiceControlImpl::learn(const wire::ReplicaReport& report, TimePoint now) {
-  const ReportNews news = registry_.accept(report, now, isConfigured(report.service));
+ReportOutcome ServiceControlImpl::acceptReport(const wire::ReplicaReport& report, TimePoint now) {
+  const ReportOutcome outcome = registry_.accept(report, now, isConfigured(report.service));
   if (node_->hosted().leaving(report.id)) {
     registry_.markLeaving(report.id);
   }
-  return news;
+  return outcome;
 }
 
 void ServiceControlImpl::flushRelay(TimePoint now) {
   const ReportRelay::Batches batches = relay_.take(now);
-  const auto tells = [](const wire::ReplicaReports& reports) {
+  const auto hasContent = [](const wire::ReplicaReports& reports) {
     return !reports.reports.empty() || !reports.alive.empty();
   };
-  if (tells(batches.to_all)) {
+  if (hasContent(batches.to_all)) {
     for (const NodeName& node : memberNodes()) {
       if (node != self_) {
         send(node, batches.to_all);
@@ -101,25 +102,25 @@
     }
   }
   const NodeName& leader = node_->log().leader();
-  if (tells(batches.to_leader) && !leader.empty() && leader != self_) {
+  if (hasContent(batches.to_leader) && !leader.empty() && leader != self_) {
     send(leader, batches.to_leader);
   }
 }
 
 /// Sends a new leader the full reports of the replicas that report to this member. With many replicas the
 /// leader otherwise receives only heartbeats of unchanged replicas, and its registry may lack some of them.
-void ServiceControlImpl::tellNewLeader(TimePoint now) {
+void ServiceControlImpl::sendReportsToNewLeader(TimePoint now) {
   const NodeName& leader = node_->log().leader();
   const Term term = node_->log().term();
-  if (leader.empty() || (leader == told_leader_ && term == told_term_)) {
+  if (leader.empty() || (leader == reported_leader_ && term == reported_term_)) {
     return;
   }
-  told_leader_ = leader;
-  told_term_ = term;
+  reported_leader_ = leader;
+  reported_term_ = term;
   if (leader == self_ || !hasManyReplicas()) {
     return;
   }
-  for (wire::ReplicaReports& reports : relay_.whole(registry_, now)) {
+  for (wire::ReplicaReports& reports : relay_.fullReports(registry_, now)) {
     send(leader, std::move(reports));
   }
 }
@@ -128,7 +129,7 @@
   LeaveNotice notice;
   notice.origin = std::move(origin);
   notice.replica = report.id;
-  notice.deadline = now + kNoticeLimit;
+  notice.deadline = now + kNoticeTimeout;
   notices_.add(std::move(notice));
   if (!node_->hosted().leaving(report.id) && leaving_proposed_.insert(report.id).second) {
     propose(LeavingProposal{report.id}, wire::ReplicaLeavingCommand{report.id}, now);
@@ -136,9 +137,9 @@
 }
 
 void ServiceControlImpl::answerNotice(const LeaveNotice& notice, bool bound, std::string detail) {
-  if (notice.origin.question) {
-    answer(QuestionNumber{*notice.origin.question}, bound ? ResultCode::Ok : ResultCode::NotBoundEverywhere,
-           std::move(detail));
+  if (notice.origin.local_request) {
+    answer(QuestionNumber{*notice.origin.local_request},
+           bound ? ResultCode::Ok : ResultCode::NotBoundEverywhere, std::move(detail));
   } else {
     send(notice.origin.member, wire::LeaveReply{notice.origin.number, bound});
   }
@@ -146,11 +147,11 @@
 
 /// A leave notice binds once it is committed, every router in contact that may use the replica holds a table
 /// that reflects the notice, and a quorum has confirmed this member's leadership after that.
-void ServiceControlImpl::settleNotices(TimePoint now) {
-  if (notices_.all().empty() || (isLargeFleet() && now < leader_->next_settle)) {
+void ServiceControlImpl::checkNotices(TimePoint now) {
+  if (notices_.all().empty() || (isLargeFleet() && now < leader_->next_notice_check)) {
     return;
   }
-  leader_->next_settle = now + kSettleInterval;
+  leader_->next_notice_check = now + kNoticeCheckInterval;
   std::uint64_t read = 0;
   for (LeaveNotice& notice : notices_.all()) {
     if (!node_->hosted().leaving(notice.replica)) {
@@ -159,10 +160,10 @@
     if (!notice.revision) {
       closeForNotice(notice);
     }
-    const bool known_routers = now - leader_->since >= kRoutersReport;
-    if (!notice.confirming && known_routers && routersHold(notice, now)) {
+    const bool routers_reported = now - leader_->since >= kRouterReportPeriod;
+    if (!notice.confirmation_pending && routers_reported && routersHold(notice, now)) {
       read = read == 0 ? next_id_ : read;
-      notice.confirming = true;
+      notice.confirmation_pending = true;
       notice.read = read;
     }
   }
@@ -171,21 +172,22 @@
   }
   for (const LeaveNotice& notice :
        notices_.takeIf([now](const LeaveNotice& waiting) { return now >= waiting.deadline; })) {
-    answerNotice(notice, false, whatUnbinds(notice, now));
+    answerNotice(notice, false, describePendingNotice(notice, now));
   }
 }
 
 void ServiceControlImpl::closeForNotice(LeaveNotice& notice) {
   registry_.markLeaving(notice.replica);
-  followReplicas();
+  applyReplicaChanges();
   const ReplicaRecord* record = registry_.find(notice.replica);
-  notice.revision = record == nullptr ? leader_->feed.revision() : leader_->feed.revisionAt(record->left);
-  notice.closing = leader_->tables.closings();
+  notice.revision =
+      record == nullptr ? leader_->feed.revision() : leader_->feed.revisionAt(record->leaving_change);
+  notice.closing_count = leader_->tables.closings();
   leader_->push_to_all = leader_->push_to_all || !leader_->has_subscriptions;
 }
 
 /// Describes why a leave notice doesn't bind yet, for the error message.
-std::string ServiceControlImpl::whatUnbinds(const LeaveNotice& notice, TimePoint now) const {
+std::string ServiceControlImpl::describePendingNotice(const LeaveNotice& notice, TimePoint now) const {
   if (!notice.revision) {
     return "the leave notice isn't committed yet";
   }
@@ -198,12 +200,12 @@
     if (++behind == 1) {
       first = name.value + " holds revision " + std::to_string(record.status.revision.value) + " of " +
               std::to_string(notice.revision->value) + ", last contact " +
-              std::to_string(toMilliseconds(now - record.heard)) + " ms ago";
+              std::to_string(toMilliseconds(now - record.last_contact)) + " ms ago";
     }
   }
-  const auto user = leader_->tables.firstUser(notice.replica, notice.closing, [&](const NodeName& router) {
-    return isSubscriberInTouch(router, now);
-  });
+  const auto user =
+      leader_->tables.findUser(notice.replica, notice.closing_count,
+                               [&](const NodeName& router) { return isSubscriberInTouch(router, now); });
   if (behind == 0 && user) {
     return "router " + user->value + " may still use the replica";
   }
@@ -214,7 +216,8 @@
 /// A leave notice doesn't wait for a router that is out of contact.
 bool ServiceControlImpl::holdsOrOutOfTouch(const RouterRecord& record, LogIndex revision,
                                            TimePoint now) const {
-  return now - record.heard > settings_.router_out_of_touch || leader_->feed.holds(record.status, revision);
+  return now - record.last_contact > settings_.router_out_of_touch ||
+         leader_->feed.holds(record.status, revision);
 }
 
 bool ServiceControlImpl::routersHold(const LeaveNotice& notice, TimePoint now) const {
@@ -223,8 +226,8 @@
         return subscribes(item.second.status) || holdsOrOutOfTouch(item.second, *notice.revision, now);
       });
   return held_by_all &&
-         !leader_->tables.firstUser(notice.replica, notice.closing,
-                                    [&](const NodeName& router) { return isSubscriberInTouch(router, now); });
+         !leader_->tables.findUser(notice.replica, notice.closing_count,
+                                   [&](const NodeName& router) { return isSubscriberInTouch(router, now); });
 }
 
 /// For a new leader the last contact with a router counts as no earlier than the start of its leadership,
@@ -234,17 +237,17 @@
   if (record == directory_.routers().end()) {
     return false;
   }
-  const TimePoint heard = std::max(record->second.heard, leader_->since);
-  return now - heard <= settings_.router_out_of_touch;
+  const TimePoint last_contact = std::max(record->second.last_contact, leader_->since);
+  return now - last_contact <= settings_.router_out_of_touch;
 }
 
-void ServiceControlImpl::giveUpForwarded(TimePoint now) {
+void ServiceControlImpl::expireForwarded(TimePoint now) {
   std::erase_if(forwarded_, [&](const auto& item) {
     const bool late = now >= item.second.deadline;
     if (late) {
-      answer(item.second.question, ResultCode::NotBoundEverywhere,
+      answer(item.second.request_number, ResultCode::NotBoundEverywhere,
              "the leader didn't respond to the leave notice within " +
-                 std::to_string(toMilliseconds(kForwardLimit)) + " ms");
+                 std::to_string(toMilliseconds(kForwardTimeout)) + " ms");
     }
     return late;
   });
--- a/src/services/service_control_subscriptions.cc
+++ b/src/services/service_control_subscriptions.cc
@@ -10,22 +10,22 @@
 namespace {
 
 /// Up to this many routers, every change is sent to all routers at once.
-constexpr std::size_t kSmallFleet = 16;
+constexpr std::size_t kMaxSmallFleetRouters = 16;
 /// Up to this many replicas routers get tables of all replicas: at some 36 kB such a table is smaller than
 /// the messages that subscriptions take.
-constexpr std::size_t kMostToldToAll = 512;
+constexpr std::size_t kMaxReplicasInFullTables = 512;
 /// Up to this many replicas report to the leader itself. Beyond that they report to the other members, since
 /// each costs a connection and a response per heartbeat.
-constexpr std::size_t kReplicasAtLeader = 400;
+constexpr std::size_t kMaxReplicasAtLeader = 400;
 /// Target rates of router statuses per second, over all routers, at the leader and at each other member.
-constexpr double kStatusesAtLeader = 1000;
-constexpr double kStatusesAtMember = 250;
-constexpr Duration kLeastMemberInterval = std::chrono::seconds(1);
+constexpr double kLeaderStatusRate = 1000;
+constexpr double kMemberStatusRate = 250;
+constexpr Duration kMinMemberInterval = std::chrono::seconds(1);
 /// Routers without a status for longer than this are cut off, frozen or gone. Updates for them would only
 /// occupy memory; they receive what they lack after their next status.
-constexpr Duration kReachedFor = std::chrono::milliseconds(1500);
+constexpr Duration kContactTimeout = std::chrono::milliseconds(1500);
 
-Duration spreadOver(std::size_t routers, double statuses_per_second) {
+Duration intervalForRate(std::size_t routers, double statuses_per_second) {
   const std::chrono::duration<double> interval(static_cast<double>(routers) / statuses_per_second);
   return std::chrono::duration_cast<Duration>(interval);
 }
@@ -33,33 +33,33 @@
 }  // namespace
 
 bool ServiceControlImpl::isLargeFleet() const {
-  return directory_.routers().size() > kSmallFleet;
+  return directory_.routers().size() > kMaxSmallFleetRouters;
 }
 
 bool ServiceControlImpl::hasManyReplicas() const {
-  return registry_.replicas().size() > kReplicasAtLeader;
+  return registry_.replicas().size() > kMaxReplicasAtLeader;
 }
 
 Duration ServiceControlImpl::leaderStatusInterval() const {
-  return spreadOver(directory_.routers().size(), kStatusesAtLeader);
+  return intervalForRate(directory_.routers().size(), kLeaderStatusRate);
 }
 
-/// The interval is a power-of-two multiple of kLeastMemberInterval, so that routers report to all members in
+/// The interval is a power-of-two multiple of kMinMemberInterval, so that routers report to all members in
 /// one step. Zero: the routers' default interval.
 Duration ServiceControlImpl::memberStatusInterval() const {
-  const Duration least = spreadOver(directory_.routers().size(), kStatusesAtMember);
-  if (least <= kLeastMemberInterval) {
+  const Duration least = intervalForRate(directory_.routers().size(), kMemberStatusRate);
+  if (least <= kMinMemberInterval) {
     return Duration::zero();
   }
-  Duration interval = kLeastMemberInterval;
+  Duration interval = kMinMemberInterval;
   while (interval < least) {
     interval *= 2;
   }
   return interval;
 }
 
-Duration ServiceControlImpl::reachedFor() const {
-  return std::max(kReachedFor, leaderStatusInterval() * 5 / 2);
+Duration ServiceControlImpl::contactTimeout() const {
+  return std::max(kContactTimeout, leaderStatusInterval() * 5 / 2);
 }
 
 bool ServiceControlImpl::subscribes(const wire::CallRouterStatus& status) const {
@@ -77,15 +77,15 @@
   }
 }
 
-void ServiceControlImpl::followReplicas() {
+void ServiceControlImpl::applyReplicaChanges() {
   const ReplicaIndex::Changes changes = index_.follow(registry_);
   if (!leader_) {
     return;
   }
-  if (!leader_->has_subscriptions && registry_.replicas().size() > kMostToldToAll) {
+  if (!leader_->has_subscriptions && registry_.replicas().size() > kMaxReplicasInFullTables) {
     beginSubscriptions();
   }
-  leader_->tables.follow(changes);
+  leader_->tables.applyChanges(changes);
 }
 
 /// Returns true if a call waits for a model that needs placement. For a subscribed router, a model that some
@@ -99,7 +99,7 @@
 
 /// Adds the leader's list of routers to the hello for a member that receives statuses too rarely to offer
 /// routers to callers, unless the member reported that it holds the same list.
-void ServiceControlImpl::sayContacts(wire::MemberHello& hello, const NodeName& node,
+void ServiceControlImpl::addContacts(wire::MemberHello& hello, const NodeName& node,
                                      const std::vector<wire::RouterContact>& contacts) const {
   hello.contacts.reset();
   if (contacts.empty()) {
@@ -113,15 +113,15 @@
   }
 }
 
-void ServiceControlImpl::takeContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now) {
+void ServiceControlImpl::applyContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now) {
   directory_.setStatusInterval(leader_ ? leaderStatusInterval() : memberStatusInterval());
   if (leader_ || from != node_->log().leader()) {
     return;
   }
   if (hello.contacts) {
-    directory_.takeContacts(*hello.contacts, now);
+    directory_.applyContacts(*hello.contacts, now);
   } else if (hello.contacts_digest != 0 && hello.contacts_digest == directory_.contactsDigest()) {
-    directory_.keepContacts(now);
+    directory_.renewContacts(now);
   }
 }
 
--- a/src/services/service_control_updates.cc
+++ b/src/services/service_control_updates.cc
@@ -12,21 +12,21 @@
 constexpr Duration kPushInterval = std::chrono::milliseconds(20);
 /// Maximum number of updates in one round of a large fleet, so that even a round with a catalog in each
 /// update takes only a part of the time between two heartbeats.
-constexpr std::size_t kUpdatesPerRound = 128;
+constexpr std::size_t kMaxUpdatesPerRound = 128;
 /// Pause after a round per update sent, which limits updates to some 4,000 a second, so that a leader keeps
 /// more than half of its processor time for other work.
 constexpr Duration kPausePerUpdate = std::chrono::microseconds(250);
 /// Maximum number of replica table entries that one round sends to a large fleet, some 70 B each in a
 /// message. It bounds the memory of a new leader, which would otherwise build the tables of all routers at
 /// once.
-constexpr std::size_t kEntriesPerRound = 100'000;
+constexpr std::size_t kMaxEntriesPerRound = 100'000;
 /// Pause after a round per table entry sent, which limits entries to 28 MB a second.
 constexpr Duration kPausePerEntry = std::chrono::nanoseconds(2500);
 /// For this long a new leader also sends updates to routers without recent contact.
-constexpr Duration kAnnounced = std::chrono::milliseconds(1500);
+constexpr Duration kAnnouncementPeriod = std::chrono::milliseconds(1500);
 /// Minimum time between two updates without changes to a router; less than the interval of its regular
 /// statuses.
-constexpr Duration kSignOfLife = std::chrono::milliseconds(200);
+constexpr Duration kKeepaliveInterval = std::chrono::milliseconds(200);
 /// Minimum time between two reports of loads to a router. Streams last about 2 s, and a router accounts
 /// itself for the calls that it sends in between.
 constexpr Duration kLoadsInterval = std::chrono::milliseconds(400);
@@ -35,7 +35,7 @@
 constexpr double kLoadBytesPerSecond = 100'000;
 constexpr double kBytesPerLoad = 14;
 /// In fleets so large that the interval would exceed this, no loads are reported: routers ignore older sums.
-constexpr Duration kLongestLoadsInterval = std::chrono::seconds(2);
+constexpr Duration kMaxLoadsInterval = std::chrono::seconds(2);
 
 bool waitsForModel(const wire::CallRouterStatus& status) {
   return std::any_of(status.wants.begin(), status.wants.end(),
@@ -52,23 +52,23 @@
     leader_->tables.forget(status.router);
   }
   if (needsPlan(status)) {
-    hurryPlan(now);
+    expeditePlan(now);
   }
   if (status.wants_proof) {
     leader_->proof_requests.add(status.router, status.incarnation, now);
   }
-  if (!owedUpdate(status, now)) {
+  if (!needsUpdate(status, now)) {
     return;
   }
   if (isLargeFleet()) {
-    leader_->unanswered.add(status.router);
+    leader_->regular_updates.add(status.router);
   } else {
     sendUpdate(status, now);
   }
 }
 
 /// A router that is up to date gets only regular keepalive updates; its statuses in between need no response.
-bool ServiceControlImpl::owedUpdate(const wire::CallRouterStatus& status, TimePoint now) {
+bool ServiceControlImpl::needsUpdate(const wire::CallRouterStatus& status, TimePoint now) {
   const wire::CallRouterStatus expected = leader_->updates.expected(status, now);
   const bool holds_table =
       subscribes(status) ? !status.missed_update : leader_->feed.holds(expected, leader_->feed.revision());
@@ -76,8 +76,8 @@
                        expected.directory == feedContext(status.zone, now).directory_digest &&
                        !waitsForModel(status);
   // A little less than the status interval, so that each regular status gets a response.
-  const Duration sign_of_life = std::max(kSignOfLife, leaderStatusInterval() * 4 / 5);
-  return !current || now - leader_->updates.lastSent(status.router) >= sign_of_life;
+  const Duration keepalive_interval = std::max(kKeepaliveInterval, leaderStatusInterval() * 4 / 5);
+  return !current || now - leader_->updates.lastSent(status.router) >= keepalive_interval;
 }
 
 std::size_t ServiceControlImpl::sendUpdate(const wire::CallRouterStatus& status, TimePoint now) {
@@ -92,7 +92,7 @@
     update.confirm = awaitsConfirmation(status);
   }
   update.status_interval_ms = toMilliseconds(leaderStatusInterval());
-  update.coming = comingFor(status, now);
+  update.coming = expectedLoadsFor(status, now);
   update.limited_tenants = leader_->quotas.limited();
   update.grants_limits = true;
   if (const auto followed = node_->log().followedAt(now)) {
@@ -114,13 +114,13 @@
   std::vector<wire::ReplicaLoad> loads = leader_->loads.loads(now);
   const auto entries = static_cast<double>(loads.size() * directory_.routers().size());
   const auto paced = std::chrono::duration<double>(entries * kBytesPerLoad / kLoadBytesPerSecond);
-  const bool useful = paced <= kLongestLoadsInterval;
+  const bool useful = paced <= kMaxLoadsInterval;
   return !useful || since < paced ? std::nullopt : std::optional(std::move(loads));
 }
 
 /// Returns the models that the router's calls wait for and that are being loaded, with the expected time.
-std::vector<wire::ComingModel> ServiceControlImpl::comingFor(const wire::CallRouterStatus& status,
-                                                             TimePoint now) {
+std::vector<wire::ComingModel> ServiceControlImpl::expectedLoadsFor(const wire::CallRouterStatus& status,
+                                                                    TimePoint now) {
   std::vector<wire::ComingModel> coming;
   for (const wire::ModelWant& want : status.wants) {
     if (want.waiting == 0) {
@@ -146,7 +146,7 @@
   });
 }
 
-bool ServiceControlImpl::hasNews() const {
+bool ServiceControlImpl::hasPendingChanges() const {
   return leader_->push_to_all || registry_.changes() != leader_->pushed_changes ||
          node_->hosted().catalog().version != leader_->pushed_version ||
          leader_->placer.loadsBegun() != leader_->pushed_loads || leader_->tables.hasDue();
@@ -159,8 +159,8 @@
 /// changes, and updates that were lost, after their next status. Routers that don't fit into a round get
 /// their update in the next one.
 void ServiceControlImpl::pushTables(TimePoint now) {
-  const bool news = hasNews();
-  if (!news && !owesUpdates()) {
+  const bool has_changes = hasPendingChanges();
+  if (!has_changes && !hasQueuedUpdates()) {
     return;
   }
   const bool large = isLargeFleet();
@@ -171,18 +171,18 @@
   if (large && now < leader_->next_push) {
     return;
   }
-  if (news) {
+  if (has_changes) {
     queueUpdates();
   }
   std::size_t sent = 0;
   std::size_t entries = 0;
-  while (!large || (sent < kUpdatesPerRound && entries < kEntriesPerRound)) {
-    const std::optional<NodeName> router = nextToTell();
+  while (!large || (sent < kMaxUpdatesPerRound && entries < kMaxEntriesPerRound)) {
+    const std::optional<NodeName> router = takeNextRouter();
     if (!router) {
       break;
     }
     const auto record = directory_.routers().find(*router);
-    if (record != directory_.routers().end() && isReached(record->second, now)) {
+    if (record != directory_.routers().end() && isReachable(record->second, now)) {
       entries += sendUpdate(record->second.status, now);
       ++sent;
     }
@@ -192,8 +192,8 @@
   leader_->next_push = now + std::max<Duration>({kPushInterval, for_updates, for_entries});
 }
 
-bool ServiceControlImpl::owesUpdates() const {
-  return !leader_->awaited.empty() || !leader_->unanswered.empty();
+bool ServiceControlImpl::hasQueuedUpdates() const {
+  return !leader_->urgent_updates.empty() || !leader_->regular_updates.empty();
 }
 
 /// Queues updates with the changes since the last round for all routers, or for those whose calls wait for
@@ -202,40 +202,40 @@
   const CatalogVersion version = node_->hosted().catalog().version;
   const bool to_all = !isLargeFleet() || leader_->push_to_all || version != leader_->pushed_version;
   if (leader_->placer.loadsBegun() != leader_->pushed_loads) {
-    leader_->tables.tellWaiting();
+    leader_->tables.queueWaitingRouters();
   }
   leader_->push_to_all = false;
   leader_->pushed_changes = registry_.changes();
   leader_->pushed_loads = leader_->placer.loadsBegun();
   leader_->pushed_version = version;
   for (const NodeName& router : leader_->tables.takeDue()) {
-    leader_->awaited.add(router);
+    leader_->urgent_updates.add(router);
   }
   if (!to_all && leader_->has_subscriptions) {
     return;
   }
   for (const auto& [router, record] : directory_.routers()) {
     if (to_all || waitsForModel(record.status)) {
-      leader_->unanswered.add(router);
+      leader_->regular_updates.add(router);
     }
   }
 }
 
 /// Returns the next router to update: routers with updates that calls or leave notices wait for come first.
-std::optional<NodeName> ServiceControlImpl::nextToTell() {
-  std::optional<NodeName> router = leader_->awaited.take();
+std::optional<NodeName> ServiceControlImpl::takeNextRouter() {
+  std::optional<NodeName> router = leader_->urgent_updates.take();
   if (router) {
-    leader_->unanswered.remove(*router);
+    leader_->regular_updates.remove(*router);
     return router;
   }
-  return leader_->unanswered.take();
+  return leader_->regular_updates.take();
 }
 
 /// Updates for a router that is cut off would only occupy memory. A new leader also sends updates to routers
 /// that it knows only from other members.
-bool ServiceControlImpl::isReached(const RouterRecord& record, TimePoint now) const {
-  const bool announces = now - leader_->since < kAnnounced;
-  return announces || now - record.heard <= reachedFor();
+bool ServiceControlImpl::isReachable(const RouterRecord& record, TimePoint now) const {
+  const bool announces = now - leader_->since < kAnnouncementPeriod;
+  return announces || now - record.last_contact <= contactTimeout();
 }
 
 }  // namespace ferryrock::services
--- a/src/services/service_control_zones.cc
+++ b/src/services/service_control_zones.cc
@@ -8,16 +8,16 @@
 /// routers receive the zone's replicas as closed with the next update.
 namespace ferryrock::services {
 
-Effects ServiceControlImpl::evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated,
+Effects ServiceControlImpl::evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
                                          TimePoint now) {
   const bool held = node_->hosted().evacuated().contains(zone);
   if (!isKnownZone(zone)) {
     constexpr std::size_t kShown = 64;
-    answer(question, ResultCode::UnknownZone, "'" + zone.value.substr(0, kShown) + "'");
+    answer(request_number, ResultCode::UnknownZone, "'" + zone.value.substr(0, kShown) + "'");
   } else if (node_->leads() && held == evacuated) {
-    confirmRead(StateHeld{question}, now);
+    confirmRead(StateInForce{request_number}, now);
   } else {
-    propose(EvacuationProposal{question}, wire::EvacuateZoneCommand{zone, evacuated}, now);
+    propose(EvacuationProposal{request_number}, wire::EvacuateZoneCommand{zone, evacuated}, now);
   }
   return finish(now);
 }
@@ -39,7 +39,7 @@
                      [&zone](const auto& item) { return item.second.report.zone == zone; });
 }
 
-void ServiceControlImpl::followEvacuations() {
+void ServiceControlImpl::applyEvacuations() {
   const std::uint64_t changes = registry_.changes();
   registry_.setEvacuated(node_->hosted().evacuated());
   if (leader_ && registry_.changes() != changes) {
--- a/src/services/status_receipts.cc
+++ b/src/services/status_receipts.cc
@@ -5,21 +5,21 @@
 
 /// Maximum number of receipts per router: more than accumulate until the cell's next heartbeat, after 100 ms,
 /// and its responses.
-constexpr std::size_t kKept = 12;
+constexpr std::size_t kMaxReceipts = 12;
 /// Minimum time between two receipts of a router; routers with urgent requests report their status every 10
 /// ms.
-constexpr Duration kLeastDistance = std::chrono::milliseconds(40);
+constexpr Duration kMinReceiptInterval = std::chrono::milliseconds(40);
 
 }  // namespace
 
 void StatusReceipts::onStatus(const wire::CallRouterStatus& status, TimePoint now) {
   std::deque<Receipt>& of_router = receipts_[status.router];
   if (!of_router.empty() && of_router.back().incarnation == status.incarnation &&
-      now - of_router.back().at < kLeastDistance) {
+      now - of_router.back().arrived_at < kMinReceiptInterval) {
     return;
   }
   of_router.push_back({status.incarnation, status.sequence, now});
-  if (of_router.size() > kKept) {
+  if (of_router.size() > kMaxReceipts) {
     of_router.pop_front();
   }
 }
@@ -31,7 +31,7 @@
   }
   const std::deque<Receipt>& of_router = found->second;
   for (auto receipt = of_router.rbegin(); receipt != of_router.rend(); ++receipt) {
-    if (receipt->at <= followed) {
+    if (receipt->arrived_at <= followed) {
       return {receipt->incarnation, receipt->sequence};
     }
   }
--- a/src/services/status_receipts.h
+++ b/src/services/status_receipts.h
@@ -27,7 +27,7 @@
   struct Receipt {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    TimePoint at{};
+    TimePoint arrived_at{};
   };
   std::map<NodeName, std::deque<Receipt>> receipts_;  ///< oldest first
 };
--- a/src/services/table_feed.cc
+++ b/src/services/table_feed.cc
@@ -35,11 +35,11 @@
   part.tenants = catalog.tenants;
   part.has_tenants = catalog.has_tenants;
   for (const wire::HostedService& service : catalog.services) {
-    wire::HostedService& told = part.services.emplace_back(
+    wire::HostedService& routed = part.services.emplace_back(
         wire::HostedService{service.name, service.health_path, service.max_connections, {}});
     if (service.engine) {
       const wire::EngineTraits& engine = *service.engine;
-      told.engine =
+      routed.engine =
           wire::EngineTraits{engine.slots,         engine.cache_tokens,     engine.weight_capacity_mb,
                              engine.adapter_slots, engine.loads_per_second, {}};
     }
@@ -62,11 +62,11 @@
 /// For routers that don't support incarnation ids: they pass the id on as the expected instance, and replicas
 /// reject their calls with any id but the plain name. A name is listed as removed only if none of its
 /// incarnations is left.
-void TableFeed::nameReplicas(wire::ServiceUpdate& update) const {
+void TableFeed::useReplicaNames(wire::ServiceUpdate& update) const {
   for (wire::RoutedReplica& replica : update.replicas) {
     replica.id = ReplicaId(wire::replicaName(replica.id));
   }
-  const auto lives_on = [this](const ReplicaId& name) {
+  const auto has_incarnation = [this](const ReplicaId& name) {
     const auto& replicas = registry_.replicas();
     return std::any_of(replicas.begin(), replicas.end(),
                        [&name](const auto& entry) { return wire::replicaName(entry.first) == name.value; });
@@ -74,7 +74,7 @@
   for (ReplicaId& id : update.removed) {
     id = ReplicaId(wire::replicaName(id));
   }
-  std::erase_if(update.removed, lives_on);
+  std::erase_if(update.removed, has_incarnation);
 }
 
 wire::ServiceUpdate TableFeed::withoutReplicas(const wire::CallRouterStatus& status,
@@ -103,12 +103,12 @@
   }
   update.base = known > 0 ? status.revision : LogIndex{};
   for (const auto& [id, record] : registry_.replicas()) {
-    if (known == 0 || record.changed > known - 1) {
+    if (known == 0 || record.last_change > known - 1) {
       update.replicas.push_back(replicaForRouters(record, registry_.takesCalls(record)));
     }
   }
   if (!status.knowsLives()) {
-    nameReplicas(update);
+    useReplicaNames(update);
   }
   return update;
 }
--- a/src/services/table_feed.h
+++ b/src/services/table_feed.h
@@ -50,7 +50,7 @@
   /// Inverse of revisionAt(), plus 1; 0 for a revision of another term.
   std::uint64_t changesAt(LogIndex revision) const;
   /// Replaces replica ids, which include the incarnation, by replica names.
-  void nameReplicas(wire::ServiceUpdate& update) const;
+  void useReplicaNames(wire::ServiceUpdate& update) const;
 
   Term term_;
   const ReplicaRegistry& registry_;
--- a/src/services/update_ledger.cc
+++ b/src/services/update_ledger.cc
@@ -5,7 +5,7 @@
 
 /// Updates that the router's status doesn't reflect within this time count as lost; routers report their
 /// status more often.
-constexpr Duration kOnItsWay = std::chrono::milliseconds(400);
+constexpr Duration kDeliveryTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
 
@@ -13,16 +13,16 @@
   wire::CallRouterStatus expected = status;
   Sent& sent = sent_[status.router];
   const bool ahead = sent.revision > status.revision;
-  if (ahead && !status.missed_update && now - sent.revision_since < kOnItsWay) {
+  if (ahead && !status.missed_update && now - sent.revision_reset_at < kDeliveryTimeout) {
     expected.revision = sent.revision;
   } else {
     sent.revision = status.revision;
-    sent.revision_since = now;
+    sent.revision_reset_at = now;
   }
-  if (sent.catalog > status.catalog && now - sent.catalog_sent < kOnItsWay) {
+  if (sent.catalog > status.catalog && now - sent.catalog_sent < kDeliveryTimeout) {
     expected.catalog = sent.catalog;
   }
-  if (now - sent.directory_sent < kOnItsWay) {
+  if (now - sent.directory_sent < kDeliveryTimeout) {
     expected.directory = sent.directory;
   }
   return expected;
@@ -30,7 +30,7 @@
 
 void UpdateLedger::onSent(const NodeName& router, const wire::ServiceUpdate& update, TimePoint now) {
   Sent& sent = sent_[router];
-  sent.last = now;
+  sent.last_sent = now;
   sent.revision = update.revision;
   if (update.loads) {
     sent.loads_sent = now;
@@ -47,7 +47,7 @@
 
 TimePoint UpdateLedger::lastSent(const NodeName& router) const {
   const auto found = sent_.find(router);
-  return found == sent_.end() ? TimePoint{} : found->second.last;
+  return found == sent_.end() ? TimePoint{} : found->second.last_sent;
 }
 
 TimePoint UpdateLedger::loadsSent(const NodeName& router) const {
--- a/src/services/update_ledger.h
+++ b/src/services/update_ledger.h
@@ -24,9 +24,9 @@
 
  private:
   struct Sent {
-    TimePoint last{};
+    TimePoint last_sent{};
     LogIndex revision;
-    TimePoint revision_since{};  ///< when `revision` was last reset to the router's reported one
+    TimePoint revision_reset_at{};  ///< when `revision` was last reset to the router's reported one
     CatalogVersion catalog;
     TimePoint catalog_sent{};
     std::uint64_t directory = 0;
--- a/src/services/update_queue.h
+++ b/src/services/update_queue.h
@@ -13,19 +13,19 @@
  public:
   /// Appends a router; a router in the queue keeps its place.
   void add(const NodeName& router) {
-    if (waiting_.insert(router).second) {
+    if (queued_.insert(router).second) {
       order_.push_back(router);
     }
   }
-  void remove(const NodeName& router) { waiting_.erase(router); }
-  bool empty() const { return waiting_.empty(); }
-  std::size_t size() const { return waiting_.size(); }
+  void remove(const NodeName& router) { queued_.erase(router); }
+  bool empty() const { return queued_.empty(); }
+  std::size_t size() const { return queued_.size(); }
   /// Removes and returns the router at the front; nullopt: the queue is empty.
   std::optional<NodeName> take() {
     while (!order_.empty()) {
       NodeName router = std::move(order_.front());
       order_.pop_front();
-      if (waiting_.erase(router) > 0) {
+      if (queued_.erase(router) > 0) {
         return router;
       }
     }
@@ -34,7 +34,7 @@
 
  private:
   std::deque<NodeName> order_;  ///< may contain removed routers, which take() skips
-  std::set<NodeName> waiting_;
+  std::set<NodeName> queued_;
 };
 
 }  // namespace ferryrock::services
--- a/tests/services/catalog_spread_test.cc
+++ b/tests/services/catalog_spread_test.cc
@@ -13,53 +13,53 @@
   void hear(const std::string& router, std::uint64_t version) {
     RouterRecord& record = routers[NodeName(router)];
     record.status.catalog = CatalogVersion{version};
-    record.heard = now;
+    record.last_contact = now;
   }
-  std::optional<CatalogSpreadEffect> look(std::uint64_t version) {
-    return spread.look(CatalogVersion{version}, routers, now);
+  std::optional<CatalogSpreadEffect> poll(std::uint64_t version) {
+    return spread.poll(CatalogVersion{version}, routers, now);
   }
   TimePoint now{1000s};
   std::map<NodeName, RouterRecord> routers;
-  CatalogSpread spread{kOutOfTouch};
+  CatalogRollout spread{kOutOfTouch};
 };
 
 TEST_CASE("A completed catalog rollout to all routers in contact is reported exactly once") {
   Fleet fleet;
   fleet.hear("edge-1", 4);
   fleet.hear("edge-2", 4);
-  CHECK_FALSE(fleet.look(5));
+  CHECK_FALSE(fleet.poll(5));
   fleet.now += 60ms;
   fleet.hear("edge-1", 5);
-  CHECK_FALSE(fleet.look(5));
+  CHECK_FALSE(fleet.poll(5));
   fleet.now += 60ms;
   fleet.hear("edge-2", 5);
-  const auto spread = fleet.look(5);
+  const auto spread = fleet.poll(5);
   REQUIRE(spread);
   CHECK(spread->behind == 0);
   CHECK(spread->routers == 2);
   CHECK(spread->since == 120ms);
   fleet.now += 5s;
-  CHECK_FALSE(fleet.look(5));
+  CHECK_FALSE(fleet.poll(5));
 }
 
 TEST_CASE("A router that stays on an older catalog is reported once a second until it is out of contact") {
   Fleet fleet;
   fleet.hear("edge-1", 4);
   fleet.hear("edge-2", 5);
-  CHECK_FALSE(fleet.look(5));
+  CHECK_FALSE(fleet.poll(5));
   fleet.now += 1s;
   fleet.hear("edge-2", 5);
-  const auto spread = fleet.look(5);
+  const auto spread = fleet.poll(5);
   REQUIRE(spread);
   CHECK(spread->behind == 1);
   CHECK(spread->router == NodeName("edge-1"));
   CHECK(spread->held == CatalogVersion{4});
   CHECK(spread->silent == 1s);
   fleet.now += 500ms;
-  CHECK_FALSE(fleet.look(5));
+  CHECK_FALSE(fleet.poll(5));
   fleet.now += 2s;
   fleet.hear("edge-2", 5);
-  const auto later = fleet.look(5);
+  const auto later = fleet.poll(5);
   REQUIRE(later);
   CHECK(later->behind == 0);
   CHECK(later->routers == 1);
--- a/tests/services/limit_ledger_test.cc
+++ b/tests/services/limit_ledger_test.cc
@@ -106,7 +106,7 @@
 TEST_CASE("A leader without the limit learns it from a credit request and starts without credit") {
   LedgerFixture fixture;
   CHECK_FALSE(fixture.ask(0s, kNow, 2, 5s).granted);
-  CHECK(fixture.ledger.limited() == 1);
+  CHECK(fixture.ledger.activeCount() == 1);
   CHECK(fixture.ask(0s, kNow + 500ms, 2, 5s).granted);
 }
 
@@ -129,16 +129,16 @@
   fixture.tell(std::numeric_limits<double>::quiet_NaN(), 0s, kNow);
   fixture.tell(-1, 0s, kNow);
   fixture.tell(std::numeric_limits<double>::infinity(), 0s, kNow);
-  CHECK(fixture.ledger.limited() == 0);
+  CHECK(fixture.ledger.activeCount() == 0);
   fixture.tell(2, -5s, kNow);
-  CHECK(fixture.ledger.limited() == 1);
+  CHECK(fixture.ledger.activeCount() == 1);
   constexpr int kReplicas = 12'000;
   for (int i = 0; i < kReplicas; ++i) {
     wire::LimitRequest request = fixture.next();
     request.heard = {{ReplicaId("x" + std::to_string(i)), 1.0, 0}};
     fixture.ledger.accept(request, kNow + std::chrono::milliseconds(i));
   }
-  CHECK(fixture.ledger.limited() <= 10'000);
+  CHECK(fixture.ledger.activeCount() <= 10'000);
 }
 
 }  // namespace
--- a/tests/services/registry_test.cc
+++ b/tests/services/registry_test.cc
@@ -19,13 +19,13 @@
 
 TEST_CASE("A reordered report is ignored, except for its leave notice") {
   ReplicaRegistry registry;
-  CHECK(registry.accept(makeReport("r1", "desk", 5), kStart) == ReportNews::Changed);
-  CHECK(registry.accept(makeReport("r1", "desk", 4), kStart) == ReportNews::Late);
-  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart) == ReportNews::Same);
+  CHECK(registry.accept(makeReport("r1", "desk", 5), kStart) == ReportOutcome::Changed);
+  CHECK(registry.accept(makeReport("r1", "desk", 4), kStart) == ReportOutcome::Stale);
+  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart) == ReportOutcome::Unchanged);
   wire::ReplicaReport leaving = makeReport("r1", "desk", 2);
   leaving.leaving = true;
-  CHECK(registry.accept(leaving, kStart) == ReportNews::Changed);
-  CHECK(registry.accept(makeReport("r1", "desk", 7), kStart) != ReportNews::Late);
+  CHECK(registry.accept(leaving, kStart) == ReportOutcome::Changed);
+  CHECK(registry.accept(makeReport("r1", "desk", 7), kStart) != ReportOutcome::Stale);
   CHECK(registry.find(ReplicaId("r1"))->leaving);
 }
 
@@ -47,7 +47,7 @@
   wire::ReplicaReport next = makeReport("r2", "desk", 1);
   next.address = "r1:80";
   registry.accept(next, kStart + 2s);
-  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart + 2500ms) == ReportNews::Late);
+  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart + 2500ms) == ReportOutcome::Stale);
   CHECK(registry.find(ReplicaId("r1")) == nullptr);
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
   wire::ReplicaReport leaving = makeReport("r1", "desk", 7);
@@ -65,8 +65,8 @@
   wire::ReplicaReport next = makeReport("r2", "desk", 1);
   next.address = "r1:80";
   registry.accept(next, kStart + 8s);
-  registry.noteAlive({ReplicaId("r2"), 3}, kStart + 10s);
-  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart + 11s) == ReportNews::Late);
+  registry.recordHeartbeat({ReplicaId("r2"), 3}, kStart + 10s);
+  CHECK(registry.accept(makeReport("r1", "desk", 6), kStart + 11s) == ReportOutcome::Stale);
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
 }
 
@@ -78,9 +78,9 @@
   registry.accept(living, kStart);
   registry.accept(makeReport("r1", "desk", 6), kStart + 100ms);
   living.sequence = 2;
-  CHECK(registry.accept(living, kStart + 1s) == ReportNews::Late);
+  CHECK(registry.accept(living, kStart + 1s) == ReportOutcome::Stale);
   living.sequence = 4;
-  CHECK(registry.accept(living, kStart + 3s) == ReportNews::Changed);
+  CHECK(registry.accept(living, kStart + 3s) == ReportOutcome::Changed);
   CHECK(registry.find(ReplicaId("r1")) == nullptr);
   CHECK(registry.find(ReplicaId("r2")) != nullptr);
 }
@@ -89,7 +89,7 @@
   ReplicaRegistry registry;
   registry.accept(makeReport("r1", "desk", 5), kStart);
   registry.expire(kStart + 7s, 6s);
-  CHECK(registry.accept(makeReport("r1", "desk", 9), kStart + 8s) == ReportNews::Changed);
+  CHECK(registry.accept(makeReport("r1", "desk", 9), kStart + 8s) == ReportOutcome::Changed);
 }
 
 /// A report of the incarnation of replica "r1" that started at this time.
@@ -107,7 +107,7 @@
   registry.assumeAdapter(before.id, ModelName("m0"), "a2", kStart);
   registry.markLeaving(before.id);
   const std::uint64_t changes = registry.changes();
-  CHECK(registry.accept(reportOfLife(2000, 1), kStart + 1s) == ReportNews::Changed);
+  CHECK(registry.accept(reportOfLife(2000, 1), kStart + 1s) == ReportOutcome::Changed);
   CHECK(registry.find(before.id) == nullptr);
   const ReplicaRecord* record = registry.find(wire::replicaLife("r1", 2000));
   REQUIRE(record != nullptr);
@@ -124,17 +124,17 @@
   wire::ReplicaReport next = reportOfLife(2000, 1);
   next.address = "elsewhere:80";
   registry.accept(next, kStart + 1s);
-  CHECK(registry.accept(reportOfLife(1000, 41), kStart + 1s) == ReportNews::Late);
-  registry.noteAlive({wire::replicaLife("r1", 1000), 42}, kStart + 1s);
+  CHECK(registry.accept(reportOfLife(1000, 41), kStart + 1s) == ReportOutcome::Stale);
+  registry.recordHeartbeat({wire::replicaLife("r1", 1000), 42}, kStart + 1s);
   wire::ReplicaReport leaving = reportOfLife(1000, 43);
   leaving.leaving = true;
-  CHECK(registry.accept(leaving, kStart + 1s) == ReportNews::Late);
+  CHECK(registry.accept(leaving, kStart + 1s) == ReportOutcome::Stale);
   REQUIRE(registry.replicas().size() == 1);
   CHECK_FALSE(registry.replicas().begin()->second.leaving);
   registry.expire(kStart + 10s, 6s);
   REQUIRE(registry.replicas().empty());
-  CHECK(registry.accept(reportOfLife(1000, 44), kStart + 10s) == ReportNews::Late);
-  CHECK(registry.accept(reportOfLife(2000, 2), kStart + 10s) == ReportNews::Changed);
+  CHECK(registry.accept(reportOfLife(1000, 44), kStart + 10s) == ReportOutcome::Stale);
+  CHECK(registry.accept(reportOfLife(2000, 2), kStart + 10s) == ReportOutcome::Changed);
 }
 
 TEST_CASE("A leave notice without a start time applies to the current incarnation only") {
@@ -146,7 +146,7 @@
   bare.leaving = true;
   registry.accept(bare, kStart);
   CHECK(registry.find(wire::replicaLife("r1", 2000))->leaving);
-  CHECK(registry.accept(reportOfLife(3000, 1), kStart + 1s) == ReportNews::Changed);
+  CHECK(registry.accept(reportOfLife(3000, 1), kStart + 1s) == ReportOutcome::Changed);
   CHECK_FALSE(registry.find(wire::replicaLife("r1", 3000))->leaving);
 }
 
@@ -156,10 +156,10 @@
   registry.accept(makeReport("r1", "desk", 5), kStart);
   wire::ReplicaReport foreign = makeReport("r2", "unheard-of", 1);
   foreign.address = "r1:80";
-  CHECK(registry.accept(foreign, kStart + 1s, kConfigured) == ReportNews::Late);
+  CHECK(registry.accept(foreign, kStart + 1s, kConfigured) == ReportOutcome::Stale);
   CHECK(registry.find(ReplicaId("r1")) != nullptr);
   foreign.address = "r2:80";
-  CHECK(registry.accept(foreign, kStart + 1s, kConfigured) == ReportNews::Changed);
+  CHECK(registry.accept(foreign, kStart + 1s, kConfigured) == ReportOutcome::Changed);
 }
 
 TEST_CASE("An ordered adapter is usable at once, and a model with an ordered unload is hidden at once") {
