--- a/tests/services/fleet_event_test.cc
+++ b/tests/services/fleet_event_test.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kEntriesPerRouter = 40;
 
 /// Sends calls for the plain service and three models at each router, so that it holds a table.
-void useModels(SubscribedFleet& fleet) {
+void callModels(SubscribedFleet& fleet) {
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"", "m1", "m2", "m3"}) {
       fleet.call(*router, model);
@@ -27,7 +27,7 @@
 }
 
 /// Number of replica entries sent to routers during the event.
-std::size_t entriesFor(SubscribedFleet& fleet, const std::function<void()>& event) {
+std::size_t countEntries(SubscribedFleet& fleet, const std::function<void()>& event) {
   fleet.cluster.entries_sent = 0;
   event();
   return fleet.cluster.entries_sent;
@@ -37,22 +37,22 @@
 /// entries. Returns the entries of the smallest fleet.
 std::size_t checkGrowth(
     const std::function<std::size_t(std::size_t routers, std::size_t replicas)>& entriesAt,
-    std::size_t beside) {
+    std::size_t tolerance) {
   const std::size_t small = entriesAt(40, 600);
   const std::size_t more_replicas = entriesAt(40, 1200);
   const std::size_t more_routers = entriesAt(80, 1200);
   INFO(small << " entries, " << more_replicas << " with twice the replicas, " << more_routers
              << " with twice the routers as well");
-  CHECK(more_replicas <= small + small / 4 + beside);
-  CHECK(more_routers <= 2 * more_replicas + more_replicas / 4 + beside);
+  CHECK(more_replicas <= small + small / 4 + tolerance);
+  CHECK(more_routers <= 2 * more_replicas + more_replicas / 4 + tolerance);
   return small;
 }
 
 TEST_CASE("A simultaneous restart of many routers costs no more than their own tables") {
   const auto entriesAt = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
-    useModels(fleet);
-    return entriesFor(fleet, [&] {
+    callModels(fleet);
+    return countEntries(fleet, [&] {
       for (std::size_t i = 0; i < routers; i += 4) {
         fleet.cluster.restart(*fleet.routers[i]);
       }
@@ -63,8 +63,8 @@
       fleet.cluster.runFor(3s);
     });
   };
-  constexpr std::size_t kBeside = 0;
-  const std::size_t small = checkGrowth(entriesAt, kBeside);
+  constexpr std::size_t kTolerance = 0;
+  const std::size_t small = checkGrowth(entriesAt, kTolerance);
   CHECK(small <= 10 * kEntriesPerRouter * 2);
 }
 
@@ -89,8 +89,8 @@
 TEST_CASE("Cut-off routers get no updates, and cost no more than their own tables after reconnecting") {
   const auto entriesAt = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
-    useModels(fleet);
-    return entriesFor(fleet, [&] {
+    callModels(fleet);
+    return countEntries(fleet, [&] {
       for (std::size_t i = 0; i < routers; i += 5) {
         fleet.cluster.isolate(fleet.routers[i]->node);
       }
@@ -111,10 +111,10 @@
   constexpr std::size_t kRouters = 40;
   const auto entriesAt = [](std::size_t replicas) {
     SubscribedFleet fleet(kRouters, replicas);
-    useModels(fleet);
-    return entriesFor(fleet, [&] {
+    callModels(fleet);
+    return countEntries(fleet, [&] {
       for (std::size_t i = 1; i < replicas; i += 14) {  // 7 in 100
-        fleet.gone.insert(i);
+        fleet.stopped_replicas.insert(i);
       }
       fleet.cluster.runFor(9s);
     });
@@ -142,7 +142,7 @@
   fleet.cluster.runFor(2s);
   CHECK_FALSE(greedy.replicas.empty());
   CHECK(greedy.replicas.size() <= ReplicaChoice::kMostOfGroup * (kModels + 1));
-  useModels(fleet);
+  callModels(fleet);
   CHECK(fleet.refused() == 0);
   // After the router has vanished, its subscriptions are removed and cause no further updates.
   greedy.silent = true;
--- a/tests/services/key_revocation_test.cc
+++ b/tests/services/key_revocation_test.cc
@@ -29,8 +29,8 @@
 }
 
 /// A cell of five voters and three real routers, whose catalog lists the keys "stays" and "goes".
-struct KeyedDeployment {
-  explicit KeyedDeployment(std::uint64_t seed) : cluster(3, 2, seed) {
+struct KeyFixture {
+  explicit KeyFixture(std::uint64_t seed) : cluster(3, 2, seed) {
     cluster.key_lifetime = kKeyLifetime;
     cluster.addMember("10.0.0.4:7000");
     cluster.addMember("10.0.0.5:7000");
@@ -58,7 +58,7 @@
     }
     return admitted;
   }
-  ServiceMember& otherThan(const ServiceMember& member) {
+  ServiceMember& anotherMember(const ServiceMember& member) {
     return cluster.member(&cluster.member(0) == &member ? 1 : 0);
   }
   void cutOff(ServiceMember& member) {
@@ -76,27 +76,25 @@
 /// A fault that begins before the key is revoked.
 struct RevocationFault {
   const char* name;
-  std::function<void(KeyedDeployment&)> begin;
+  std::function<void(KeyFixture&)> begin;
 };
 
 const std::vector<RevocationFault>& faults() {
   static const std::vector<RevocationFault> kFaults = {
-      {"none", [](KeyedDeployment&) {}},
-      {"a router is cut off", [](KeyedDeployment& it) { it.cluster.isolate(it.routers[0]->node); }},
+      {"none", [](KeyFixture&) {}},
+      {"a router is cut off", [](KeyFixture& it) { it.cluster.isolate(it.routers[0]->node); }},
       {"a router's connection to the leader falls silent",
-       [](KeyedDeployment& it) { it.cluster.silence(it.routers[0]->node, it.cluster.leader()->node); }},
-      {"a router is frozen for 6 s", [](KeyedDeployment& it) { it.cluster.freeze(*it.routers[0], 6s); }},
-      {"a router is frozen for 4 s", [](KeyedDeployment& it) { it.cluster.freeze(*it.routers[0], 4s); }},
-      {"a router restarts", [](KeyedDeployment& it) { it.cluster.restart(*it.routers[0]); }},
-      {"the leader is killed", [](KeyedDeployment& it) { it.cluster.kill(*it.cluster.leader()); }},
-      {"the leader is frozen for 3 s",
-       [](KeyedDeployment& it) { it.cluster.freeze(*it.cluster.leader(), 3s); }},
-      {"the leader is frozen for 7 s",
-       [](KeyedDeployment& it) { it.cluster.freeze(*it.cluster.leader(), 7s); }},
+       [](KeyFixture& it) { it.cluster.silence(it.routers[0]->node, it.cluster.leader()->node); }},
+      {"a router is frozen for 6 s", [](KeyFixture& it) { it.cluster.freeze(*it.routers[0], 6s); }},
+      {"a router is frozen for 4 s", [](KeyFixture& it) { it.cluster.freeze(*it.routers[0], 4s); }},
+      {"a router restarts", [](KeyFixture& it) { it.cluster.restart(*it.routers[0]); }},
+      {"the leader is killed", [](KeyFixture& it) { it.cluster.kill(*it.cluster.leader()); }},
+      {"the leader is frozen for 3 s", [](KeyFixture& it) { it.cluster.freeze(*it.cluster.leader(), 3s); }},
+      {"the leader is frozen for 7 s", [](KeyFixture& it) { it.cluster.freeze(*it.cluster.leader(), 7s); }},
       {"the leader is cut off from the members but not from the routers",
-       [](KeyedDeployment& it) { it.cutOff(*it.cluster.leader()); }},
+       [](KeyFixture& it) { it.cutOff(*it.cluster.leader()); }},
       {"the leader is cut off from the members, and two of them restart at once",
-       [](KeyedDeployment& it) {
+       [](KeyFixture& it) {
          ServiceMember& leader = *it.cluster.leader();
          it.cutOff(leader);
          for (std::size_t i = 0, restarted = 0; restarted < 2; ++i) {
@@ -108,12 +106,12 @@
          }
        }},
       {"a member loses its disk",
-       [](KeyedDeployment& it) {
-         ServiceMember& member = it.otherThan(*it.cluster.leader());
+       [](KeyFixture& it) {
+         ServiceMember& member = it.anotherMember(*it.cluster.leader());
          it.cluster.wipe(member);
          it.cluster.start(member);
        }},
-      {"every member loses power", [](KeyedDeployment& it) {
+      {"every member loses power", [](KeyFixture& it) {
          for (std::size_t i = 0; i < 5; ++i) {
            it.cluster.powerOff(it.cluster.member(i));
          }
@@ -128,19 +126,19 @@
   const auto fault = GENERATE(range(0, 13));
   const auto before = GENERATE(0ms, 300ms, 2000ms, 4000ms);
   const auto seed = GENERATE(range(1, 4));
-  const RevocationFault& played = faults().at(static_cast<std::size_t>(fault));
-  INFO(played.name << ", " << before.count() << " ms before, seed " << seed);
-  KeyedDeployment deployment(static_cast<std::uint64_t>(seed));
-  REQUIRE(deployment.admittedBy("goes") == 3);
-  played.begin(deployment);
-  deployment.cluster.runFor(before);
-  REQUIRE(deployment.cluster.replaceAcknowledged(catalogWithKeys(2, {"stays"}), 20s));
-  const TimePoint acknowledged = deployment.cluster.now();
+  const RevocationFault& injected = faults().at(static_cast<std::size_t>(fault));
+  INFO(injected.name << ", " << before.count() << " ms before, seed " << seed);
+  KeyFixture fixture(static_cast<std::uint64_t>(seed));
+  REQUIRE(fixture.admittedBy("goes") == 3);
+  injected.begin(fixture);
+  fixture.cluster.runFor(before);
+  REQUIRE(fixture.cluster.replaceAcknowledged(catalogWithKeys(2, {"stays"}), 20s));
+  const TimePoint acknowledged = fixture.cluster.now();
   std::size_t late = 0;
-  while (deployment.cluster.now() < acknowledged + 12s) {
-    deployment.cluster.runFor(kProbeInterval);
-    const std::size_t admitted = deployment.admittedBy("goes");
-    late += deployment.cluster.now() > acknowledged + kRevocationLimit ? admitted : 0;
+  while (fixture.cluster.now() < acknowledged + 12s) {
+    fixture.cluster.runFor(kProbeInterval);
+    const std::size_t admitted = fixture.admittedBy("goes");
+    late += fixture.cluster.now() > acknowledged + kRevocationLimit ? admitted : 0;
   }
   CHECK(late == 0);
 }
@@ -148,14 +146,14 @@
 TEST_CASE("Routers don't reject a valid key during a change of leader") {
   const auto fault = GENERATE(0, 6, 7, 9);
   const auto seed = GENERATE(range(1, 6));
-  const RevocationFault& played = faults().at(static_cast<std::size_t>(fault));
-  INFO(played.name << ", seed " << seed);
-  KeyedDeployment deployment(static_cast<std::uint64_t>(seed));
-  played.begin(deployment);
+  const RevocationFault& injected = faults().at(static_cast<std::size_t>(fault));
+  INFO(injected.name << ", seed " << seed);
+  KeyFixture fixture(static_cast<std::uint64_t>(seed));
+  injected.begin(fixture);
   std::size_t refused = 0;
   for (Duration passed{}; passed < 10s; passed += kProbeInterval) {
-    deployment.cluster.runFor(kProbeInterval);
-    refused += 3 - deployment.admittedBy("stays");
+    fixture.cluster.runFor(kProbeInterval);
+    refused += 3 - fixture.admittedBy("stays");
   }
   CHECK(refused == 0);
 }
@@ -163,21 +161,21 @@
 TEST_CASE("After a router restart or a power loss of the cell, a valid key works within 1 s of an election") {
   const auto fault = GENERATE(5, 12);
   const auto seed = GENERATE(range(1, 6));
-  const RevocationFault& played = faults().at(static_cast<std::size_t>(fault));
-  INFO(played.name << ", seed " << seed);
-  KeyedDeployment deployment(static_cast<std::uint64_t>(seed));
-  played.begin(deployment);
-  REQUIRE(deployment.cluster.runUntil([&] { return deployment.cluster.leader() != nullptr; }));
-  deployment.cluster.runFor(1s);
-  CHECK(deployment.admittedBy("stays") == 3);
+  const RevocationFault& injected = faults().at(static_cast<std::size_t>(fault));
+  INFO(injected.name << ", seed " << seed);
+  KeyFixture fixture(static_cast<std::uint64_t>(seed));
+  injected.begin(fixture);
+  REQUIRE(fixture.cluster.runUntil([&] { return fixture.cluster.leader() != nullptr; }));
+  fixture.cluster.runFor(1s);
+  CHECK(fixture.admittedBy("stays") == 3);
 }
 
 TEST_CASE("A new key is accepted by all routers, and a removed one rejected, 500 ms after the catalog") {
-  KeyedDeployment deployment(3);
-  REQUIRE(deployment.cluster.replaceAcknowledged(catalogWithKeys(2, {"stays", "new"})));
-  deployment.cluster.runFor(500ms);
-  CHECK(deployment.admittedBy("new") == 3);
-  CHECK(deployment.admittedBy("goes") == 0);
+  KeyFixture fixture(3);
+  REQUIRE(fixture.cluster.replaceAcknowledged(catalogWithKeys(2, {"stays", "new"})));
+  fixture.cluster.runFor(500ms);
+  CHECK(fixture.admittedBy("new") == 3);
+  CHECK(fixture.admittedBy("goes") == 0);
 }
 
 }  // namespace
--- a/tests/services/large_fleet_test.cc
+++ b/tests/services/large_fleet_test.cc
@@ -59,19 +59,19 @@
 
 TEST_CASE("Updates to a large fleet stay bounded while all routers constantly report waiting calls") {
   constexpr std::size_t kRouters = 200;
-  constexpr int kTells = 50;
+  constexpr int kStatusRounds = 50;
   LargeFleet fleet(kRouters);
   fleet.waitForModel();
   const std::size_t before = fleet.sentUpdates();
-  for (int i = 0; i < kTells; ++i) {
+  for (int i = 0; i < kStatusRounds; ++i) {
     for (ScriptedRouter* router : fleet.routers) {
       fleet.cluster.tell(*router);
     }
     fleet.cluster.runFor(10ms);
   }
   const std::size_t sent = fleet.sentUpdates() - before;
-  CHECK(sent >= kRouters);             // each router gets several updates per second
-  CHECK(sent <= 4500 * kTells / 100);  // 4,500 updates per second, for half a second
+  CHECK(sent >= kRouters);                    // each router gets several updates per second
+  CHECK(sent <= 4500 * kStatusRounds / 100);  // 4,500 updates per second, for half a second
 }
 
 TEST_CASE("Silent routers get no updates, and receive what they lack after their next status") {
@@ -97,7 +97,7 @@
 TEST_CASE("A new leader of thousands of replicas sends full tables in rounds of bounded size") {
   constexpr std::size_t kRouters = 50;
   constexpr std::size_t kReplicas = 2500;
-  constexpr std::size_t kMostEntries = 100'000 + kReplicas;
+  constexpr std::size_t kMaxEntries = 100'000 + kReplicas;
   LargeFleet fleet(kRouters);
   for (std::size_t i = 0; i < kReplicas; ++i) {
     fleet.cluster.report(*fleet.cluster.leader(), makeReport("r" + std::to_string(i), "llm", 1));
@@ -107,7 +107,7 @@
   fleet.cluster.kill(*fleet.cluster.leader());
   fleet.cluster.runFor(4s);
   CHECK(fleet.cluster.most_entries_per_tick >= kReplicas);
-  CHECK(fleet.cluster.most_entries_per_tick <= kMostEntries);
+  CHECK(fleet.cluster.most_entries_per_tick <= kMaxEntries);
   const Term term = fleet.cluster.leader()->control->view(fleet.cluster.now()).term;
   for (const ScriptedRouter* router : fleet.routers) {
     CHECK(router->replicas.size() == kReplicas);
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("The number of updates that a leader sends per event doesn't grow with the routers") {
-  constexpr std::size_t kMostAtOnce = 128;
+  constexpr std::size_t kMaxUpdatesPerEvent = 128;
   for (const std::size_t size : {200, 400}) {
     LargeFleet fleet(size);
     fleet.cluster.most_updates_per_event = 0;
@@ -132,7 +132,7 @@
     fleet.cluster.runFor(5s);
     REQUIRE(fleet.cluster.leader() != nullptr);
     INFO(size << " routers, " << fleet.cluster.most_updates_per_event << " updates at once");
-    CHECK(fleet.cluster.most_updates_per_event <= kMostAtOnce);
+    CHECK(fleet.cluster.most_updates_per_event <= kMaxUpdatesPerEvent);
   }
 }
 
--- a/tests/services/limit_oracle.h
+++ b/tests/services/limit_oracle.h
@@ -16,13 +16,15 @@
  public:
   /// Records that the replica announces this limit from `from` on; nullopt: no limit. Windows that include a
   /// time without a limit, or that begin less than 3 s after a limit started, aren't checked.
-  void named(std::optional<double> per_second, TimePoint from) { limits_.push_back({per_second, from}); }
+  void limitAnnounced(std::optional<double> per_second, TimePoint from) {
+    limits_.push_back({per_second, from});
+  }
   /// Records that a router received the head of a response that announces a limit.
-  void told(const std::string& router, TimePoint at) { told_.try_emplace(router, at); }
-  void arrived(const std::string& router, TimePoint at) { arrivals_.push_back({router, at}); }
+  void limitReceived(const std::string& router, TimePoint at) { received_at_.try_emplace(router, at); }
+  void callArrived(const std::string& router, TimePoint at) { arrivals_.push_back({router, at}); }
   /// Excludes the router's calls from `from` to `to`, when it was cut off, frozen or restarted.
-  void excuse(const std::string& router, TimePoint from, TimePoint to) {
-    excuses_[router].push_back({from, to});
+  void exclude(const std::string& router, TimePoint from, TimePoint to) {
+    exclusions_[router].push_back({from, to});
   }
 
   /// Returns the maximum excess over all windows: the calls that arrived beyond what the limit allows, from
@@ -33,7 +35,7 @@
       return most;
     }
     for (const Arrival& first : arrivals_) {
-      const std::optional<double> limit = highest(first.at);
+      const std::optional<double> limit = highestLimit(first.at);
       if (!limit) {
         continue;
       }
@@ -54,46 +56,46 @@
 
  private:
   static constexpr Duration kWindow = std::chrono::seconds(4);
-  static constexpr Duration kLearned = std::chrono::seconds(3);
-  static constexpr Duration kOnTheWay = std::chrono::milliseconds(500);
+  static constexpr Duration kSettlingTime = std::chrono::seconds(3);
+  static constexpr Duration kPropagationTime = std::chrono::milliseconds(500);
   static constexpr double kOvershoot = 1.5;
   static constexpr double kSlack = 5;
   struct Arrival {
     std::string router;
     TimePoint at{};
   };
-  struct NamedLimit {
+  struct AnnouncedLimit {
     std::optional<double> per_second;
     TimePoint from{};
   };
-  struct Excuse {
+  struct Exclusion {
     TimePoint from{};
     TimePoint to{};
   };
 
   bool counts(const Arrival& arrival) const {
-    const auto told = told_.find(arrival.router);
-    const auto excuses = excuses_.find(arrival.router);
-    const bool excused =
-        excuses != excuses_.end() &&
-        std::any_of(excuses->second.begin(), excuses->second.end(), [&](const Excuse& excuse) {
-          return arrival.at >= excuse.from && arrival.at <= excuse.to;
+    const auto received = received_at_.find(arrival.router);
+    const auto exclusions = exclusions_.find(arrival.router);
+    const bool excluded =
+        exclusions != exclusions_.end() &&
+        std::any_of(exclusions->second.begin(), exclusions->second.end(), [&](const Exclusion& exclusion) {
+          return arrival.at >= exclusion.from && arrival.at <= exclusion.to;
         });
-    return told != told_.end() && told->second + kOnTheWay <= arrival.at && !excused;
+    return received != received_at_.end() && received->second + kPropagationTime <= arrival.at && !excluded;
   }
   /// Returns the highest limit announced in the window that begins at `from`; nullopt: the window isn't
   /// checked.
-  std::optional<double> highest(TimePoint from) const {
+  std::optional<double> highestLimit(TimePoint from) const {
     std::optional<double> most;
-    TimePoint first_named = TimePoint::max();
+    TimePoint first_announced = TimePoint::max();
     for (std::size_t i = 0; i < limits_.size(); ++i) {
       const TimePoint end = i + 1 < limits_.size() ? limits_[i + 1].from : TimePoint::max();
-      const bool named = limits_[i].per_second.has_value();
-      first_named = !named ? TimePoint::max() : std::min(first_named, limits_[i].from);
+      const bool announced = limits_[i].per_second.has_value();
+      first_announced = !announced ? TimePoint::max() : std::min(first_announced, limits_[i].from);
       if (limits_[i].from > from + kWindow || end < from) {
         continue;
       }
-      if (!named || first_named + kLearned > from) {
+      if (!announced || first_announced + kSettlingTime > from) {
         return std::nullopt;
       }
       most = std::max(most.value_or(0), *limits_[i].per_second);
@@ -101,10 +103,10 @@
     return most;
   }
 
-  std::vector<NamedLimit> limits_;
-  std::map<std::string, TimePoint> told_;
+  std::vector<AnnouncedLimit> limits_;
+  std::map<std::string, TimePoint> received_at_;
   std::vector<Arrival> arrivals_;
-  std::map<std::string, std::vector<Excuse>> excuses_;
+  std::map<std::string, std::vector<Exclusion>> exclusions_;
 };
 
 }  // namespace ferryrock::services
--- a/tests/services/limited_fleet.cc
+++ b/tests/services/limited_fleet.cc
@@ -12,7 +12,7 @@
   };
   REQUIRE(cluster.runUntil([this] { return cluster.leader() != nullptr; }));
   for (std::size_t i = 0; i < replicas; ++i) {
-    cluster.schedule(kHeartbeat * i / replicas, [this, i] { beat(i); });
+    cluster.schedule(kHeartbeat * i / replicas, [this, i] { sendHeartbeat(i); });
   }
   for (std::size_t i = 0; i < router_count; ++i) {
     routers.push_back(&cluster.addCallRouter("edge-" + std::to_string(i)));
@@ -24,17 +24,18 @@
 void LimitedFleet::onEffect(RunningRouter& router, const calls::Effect& effect) {
   if (const auto* sent = std::get_if<calls::SendAttemptEffect>(&effect)) {
     cluster.schedule(kHop, [this, &router, sent = *sent] {
-      oracles_[sent.replica.value].arrived(router.node.value, cluster.now());
+      oracles_[sent.replica.value].callArrived(router.node.value, cluster.now());
       // A response to a former incarnation would be matched to an attempt of the current one.
-      cluster.schedule(kServing, [this, &router, sent, life = router.logic.get()] {
-        if (router.logic.get() == life) {
+      cluster.schedule(kServiceTime, [this, &router, sent, incarnation = router.logic.get()] {
+        if (router.logic.get() == incarnation) {
           answer(router, sent);
         }
       });
     });
   } else if (const auto* refused = std::get_if<calls::RefuseCallEffect>(&effect)) {
     ++refusals[refused->code];
-    longest_refusal = std::max(longest_refusal, cluster.now() - came_[{router.node, refused->call}]);
+    max_refusal_time =
+        std::max(max_refusal_time, cluster.now() - arrival_times_[{router.node, refused->call}]);
     retry_after.push_back(refused->retry_after);
   }
 }
@@ -45,7 +46,7 @@
   notice.names_no_limit = !notice.calls_per_second;
   cluster.schedule(kHop, [this, &router, sent, notice] {
     if (notice.calls_per_second) {
-      oracles_[sent.replica.value].told(router.node.value, cluster.now());
+      oracles_[sent.replica.value].limitReceived(router.node.value, cluster.now());
     }
     ++answered;
     cluster.actRouter(router, [attempt = sent.attempt, notice](calls::CallRouter& logic, TimePoint now) {
@@ -57,8 +58,8 @@
   });
 }
 
-void LimitedFleet::beat(std::size_t number) {
-  cluster.schedule(kHeartbeat, [this, number] { beat(number); });
+void LimitedFleet::sendHeartbeat(std::size_t number) {
+  cluster.schedule(kHeartbeat, [this, number] { sendHeartbeat(number); });
   for (std::size_t i = 0; i < 3; ++i) {
     ServiceMember& member = cluster.member((number + i) % 3);
     if (member.control) {
@@ -70,7 +71,7 @@
 
 void LimitedFleet::setLimit(std::size_t replica, std::optional<double> per_second) {
   limits_[replicaName(replica)] = per_second;
-  oracle(replica).named(per_second, cluster.now());
+  oracle(replica).limitAnnounced(per_second, cluster.now());
 }
 
 void LimitedFleet::callFor(Duration time, double calls_per_second) {
@@ -88,14 +89,14 @@
   request.id = RequestId(router.node.value + "-" + std::to_string(router.calls));
   request.host = "example";
   request.path = "/desk/x";
-  came_[{router.node, request.number}] = cluster.now();
+  arrival_times_[{router.node, request.number}] = cluster.now();
   cluster.actRouter(
       router, [request](calls::CallRouter& logic, TimePoint now) { return logic.onCall(request, now); });
 }
 
-void LimitedFleet::excuseRouter(std::size_t router, Duration time) {
+void LimitedFleet::excludeRouter(std::size_t router, Duration time) {
   for (auto& [replica, oracle] : oracles_) {
-    oracle.excuse(routers[router]->node.value, cluster.now(), cluster.now() + time);
+    oracle.exclude(routers[router]->node.value, cluster.now(), cluster.now() + time);
   }
 }
 
--- a/tests/services/limited_fleet.h
+++ b/tests/services/limited_fleet.h
@@ -25,7 +25,7 @@
   LimitOracle& oracle(std::size_t replica) { return oracles_[replicaName(replica)]; }
   std::uint64_t refused() const;
   /// Excludes the router's calls from the limit checks for the time from now.
-  void excuseRouter(std::size_t router, Duration time);
+  void excludeRouter(std::size_t router, Duration time);
 
   ServiceCluster cluster;
   std::vector<RunningRouter*> routers;
@@ -33,22 +33,22 @@
   std::vector<std::optional<Duration>> retry_after;
   std::map<ResultCode, std::size_t> refusals;
   std::size_t answered = 0;
-  Duration longest_refusal{};  ///< maximum time from a call's arrival to its refusal
+  Duration max_refusal_time{};  ///< maximum time from a call's arrival to its refusal
 
  private:
   static constexpr Duration kHop = std::chrono::milliseconds(1);
-  static constexpr Duration kServing = std::chrono::milliseconds(40);
+  static constexpr Duration kServiceTime = std::chrono::milliseconds(40);
   static constexpr Duration kHeartbeat = std::chrono::milliseconds(600);
 
   void onEffect(RunningRouter& router, const calls::Effect& effect);
   void answer(RunningRouter& router, const calls::SendAttemptEffect& sent);
-  void beat(std::size_t number);
+  void sendHeartbeat(std::size_t number);
   void call(RunningRouter& router);
 
   Random random_;
   std::map<std::string, std::optional<double>> limits_;
   std::map<std::string, LimitOracle> oracles_;
-  std::map<std::pair<NodeName, calls::CallNumber>, TimePoint> came_;
+  std::map<std::pair<NodeName, calls::CallNumber>, TimePoint> arrival_times_;
   std::uint64_t sequence_ = 0;
 };
 
--- a/tests/services/registry_test.cc
+++ b/tests/services/registry_test.cc
@@ -93,7 +93,7 @@
 }
 
 /// A report of the incarnation of replica "r1" that started at this time.
-wire::ReplicaReport reportOfLife(std::uint64_t born, std::uint64_t sequence) {
+wire::ReplicaReport reportOfIncarnation(std::uint64_t born, std::uint64_t sequence) {
   wire::ReplicaReport report = makeReport("r1", "llm", sequence);
   report.id = wire::replicaLife("r1", born);
   return report;
@@ -101,13 +101,13 @@
 
 TEST_CASE("A replica that restarts under its name starts without its former state and report sequence") {
   ReplicaRegistry registry;
-  wire::ReplicaReport before = reportOfLife(1000, 40);
+  wire::ReplicaReport before = reportOfIncarnation(1000, 40);
   before.held = {{ModelName("m0"), {}}};
   registry.accept(before, kStart);
   registry.assumeAdapter(before.id, ModelName("m0"), "a2", kStart);
   registry.markLeaving(before.id);
   const std::uint64_t changes = registry.changes();
-  CHECK(registry.accept(reportOfLife(2000, 1), kStart + 1s) == ReportOutcome::Changed);
+  CHECK(registry.accept(reportOfIncarnation(2000, 1), kStart + 1s) == ReportOutcome::Changed);
   CHECK(registry.find(before.id) == nullptr);
   const ReplicaRecord* record = registry.find(wire::replicaLife("r1", 2000));
   REQUIRE(record != nullptr);
@@ -120,33 +120,33 @@
 
 TEST_CASE("Late reports of a former incarnation are ignored, even after its successor has expired") {
   ReplicaRegistry registry;
-  registry.accept(reportOfLife(1000, 40), kStart);
-  wire::ReplicaReport next = reportOfLife(2000, 1);
+  registry.accept(reportOfIncarnation(1000, 40), kStart);
+  wire::ReplicaReport next = reportOfIncarnation(2000, 1);
   next.address = "elsewhere:80";
   registry.accept(next, kStart + 1s);
-  CHECK(registry.accept(reportOfLife(1000, 41), kStart + 1s) == ReportOutcome::Stale);
+  CHECK(registry.accept(reportOfIncarnation(1000, 41), kStart + 1s) == ReportOutcome::Stale);
   registry.recordHeartbeat({wire::replicaLife("r1", 1000), 42}, kStart + 1s);
-  wire::ReplicaReport leaving = reportOfLife(1000, 43);
+  wire::ReplicaReport leaving = reportOfIncarnation(1000, 43);
   leaving.leaving = true;
   CHECK(registry.accept(leaving, kStart + 1s) == ReportOutcome::Stale);
   REQUIRE(registry.replicas().size() == 1);
   CHECK_FALSE(registry.replicas().begin()->second.leaving);
   registry.expire(kStart + 10s, 6s);
   REQUIRE(registry.replicas().empty());
-  CHECK(registry.accept(reportOfLife(1000, 44), kStart + 10s) == ReportOutcome::Stale);
-  CHECK(registry.accept(reportOfLife(2000, 2), kStart + 10s) == ReportOutcome::Changed);
+  CHECK(registry.accept(reportOfIncarnation(1000, 44), kStart + 10s) == ReportOutcome::Stale);
+  CHECK(registry.accept(reportOfIncarnation(2000, 2), kStart + 10s) == ReportOutcome::Changed);
 }
 
 TEST_CASE("A leave notice without a start time applies to the current incarnation only") {
   ReplicaRegistry registry;
-  registry.accept(reportOfLife(1000, 40), kStart);
-  registry.accept(reportOfLife(2000, 1), kStart);
+  registry.accept(reportOfIncarnation(1000, 40), kStart);
+  registry.accept(reportOfIncarnation(2000, 1), kStart);
   wire::ReplicaReport bare;
   bare.id = ReplicaId("r1");
   bare.leaving = true;
   registry.accept(bare, kStart);
   CHECK(registry.find(wire::replicaLife("r1", 2000))->leaving);
-  CHECK(registry.accept(reportOfLife(3000, 1), kStart + 1s) == ReportOutcome::Changed);
+  CHECK(registry.accept(reportOfIncarnation(3000, 1), kStart + 1s) == ReportOutcome::Changed);
   CHECK_FALSE(registry.find(wire::replicaLife("r1", 3000))->leaving);
 }
 
@@ -250,13 +250,13 @@
 
 struct InvalidCase {
   const char* name;
-  void (*spoil)(wire::ServiceCatalog&);
+  void (*invalidate)(wire::ServiceCatalog&);
 };
 
 TEST_CASE("Callers get routers of their own zone, and of other zones only if their zone has too few") {
   constexpr std::size_t kLimit = 12;
   RouterDirectory directory;
-  const auto tell = [&directory](const std::string& zone, std::size_t number) {
+  const auto addRouter = [&directory](const std::string& zone, std::size_t number) {
     wire::CallRouterStatus status;
     status.router = NodeName(zone + "-" + std::to_string(number));
     status.zone = ZoneName(zone);
@@ -266,10 +266,10 @@
     directory.accept(status, kStart);
   };
   for (std::size_t i = 0; i < 9; ++i) {
-    tell("east", i);
-    tell("west", i);
+    addRouter("east", i);
+    addRouter("west", i);
   }
-  tell("north", 0);
+  addRouter("north", 0);
   const auto inZone = [&](const std::string& zone) {
     const std::vector<std::string> addresses = directory.addresses(ZoneName(zone), kStart, kLimit);
     CHECK(addresses.size() <= kLimit);
@@ -305,7 +305,7 @@
   for (const InvalidCase& invalid : cases) {
     INFO(invalid.name);
     wire::ServiceCatalog catalog = makeCatalog(1);
-    invalid.spoil(catalog);
+    invalid.invalidate(catalog);
     try {
       checkCatalog(catalog);
       FAIL("it was accepted");
@@ -321,13 +321,13 @@
 /// call with an id that includes the incarnation's start time.
 TEST_CASE("A legacy router without support for incarnation ids gets plain replica names") {
   ReplicaRegistry registry;
-  const auto report = [&registry](const char* name, std::uint64_t born) {
-    wire::ReplicaReport told = makeReport("r1", "desk", 1);
-    told.id = wire::replicaLife(name, born);
-    told.address = std::string(name) + ":80";
-    registry.accept(told, kStart);
+  const auto registerReplica = [&registry](const char* name, std::uint64_t born) {
+    wire::ReplicaReport replica_report = makeReport("r1", "desk", 1);
+    replica_report.id = wire::replicaLife(name, born);
+    replica_report.address = std::string(name) + ":80";
+    registry.accept(replica_report, kStart);
   };
-  report("r1", 1000);
+  registerReplica("r1", 1000);
   const TableFeed feed(Term{4}, registry);
   const wire::ServiceCatalog catalog;
   auto status = std::get<wire::CallRouterStatus>(
@@ -338,7 +338,7 @@
 
   // One update removes the former incarnation and adds the next one: the name must stay listed.
   status.revision = whole.revision;
-  report("r1", 2000);
+  registerReplica("r1", 2000);
   const wire::ServiceUpdate changed = feed.updateFor(status, {catalog, {}, 1, true, {}, 0});
   REQUIRE(changed.replicas.size() == 1);
   CHECK(changed.replicas.front().id == ReplicaId("r1"));
--- a/tests/services/replica_limit_test.cc
+++ b/tests/services/replica_limit_test.cc
@@ -37,9 +37,10 @@
   CHECK(fleet.answered >= 90);
   CHECK(fleet.refusals.size() == 1);
   CHECK(fleet.refusals[ResultCode::ReplicaLimited] > 150);
-  CHECK(std::all_of(fleet.retry_after.begin(), fleet.retry_after.end(),
-                    [](const std::optional<Duration>& told) { return told && *told > 100ms; }));
-  CHECK(fleet.longest_refusal < 50ms);
+  CHECK(
+      std::all_of(fleet.retry_after.begin(), fleet.retry_after.end(),
+                  [](const std::optional<Duration>& announced) { return announced && *announced > 100ms; }));
+  CHECK(fleet.max_refusal_time < 50ms);
 }
 
 TEST_CASE("No call waits for credit or is refused while another replica has no limit") {
@@ -78,7 +79,7 @@
 /// An event in the fleet while calls arrive.
 struct LimitEvent {
   const char* name;
-  void (*happen)(LimitedFleet& fleet);
+  void (*trigger)(LimitedFleet& fleet);
 };
 
 void killLeader(LimitedFleet& fleet) {
@@ -101,14 +102,14 @@
 }
 void cutRouters(LimitedFleet& fleet) {
   for (std::size_t i = 0; i < fleet.routers.size(); i += 2) {
-    fleet.excuseRouter(i, 8s);
+    fleet.excludeRouter(i, 8s);
     fleet.cluster.isolate(fleet.routers[i]->node);
   }
   fleet.cluster.schedule(5s, [&fleet] { fleet.cluster.heal(); });
 }
 void restartRouters(LimitedFleet& fleet) {
   for (std::size_t i = 0; i < fleet.routers.size(); i += 3) {
-    fleet.excuseRouter(i, 3s);
+    fleet.excludeRouter(i, 3s);
     fleet.cluster.restart(*fleet.routers[i]);
   }
 }
@@ -134,7 +135,7 @@
   fleet.callFor(3s, 24);
   fleet.setLimit(0, 1.2);
   fleet.callFor(5s, 24);
-  event.happen(fleet);
+  event.trigger(fleet);
   fleet.callFor(14s, 24);
   CHECK(fleet.oracle(0).excess() <= 0);
 }
--- a/tests/services/service_control_test.cc
+++ b/tests/services/service_control_test.cc
@@ -47,21 +47,21 @@
   ServiceCluster cluster(3, 2);
   REQUIRE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
   ServiceMember& leader = *cluster.leader();
-  const std::uint64_t question = cluster.replace(leader, 1);
+  const std::uint64_t request_number = cluster.replace(leader, 1);
   cluster.runFor(1s);
-  CHECK_FALSE(ServiceCluster::codeOf(leader, question).has_value());
+  CHECK_FALSE(ServiceCluster::codeOf(leader, request_number).has_value());
   cluster.addMember("10.0.0.4:7000");
-  REQUIRE(cluster.runUntil([&] { return ServiceCluster::codeOf(leader, question).has_value(); }, 2s));
-  CHECK(ServiceCluster::codeOf(leader, question) == ResultCode::Ok);
+  REQUIRE(cluster.runUntil([&] { return ServiceCluster::codeOf(leader, request_number).has_value(); }, 2s));
+  CHECK(ServiceCluster::codeOf(leader, request_number) == ResultCode::Ok);
 }
 
 TEST_CASE("A catalog that never reaches enough disks gets NoQuorum, which leaves the outcome open") {
   ServiceCluster cluster(3, 2);
   REQUIRE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
   ServiceMember& leader = *cluster.leader();
-  const std::uint64_t question = cluster.replace(leader, 1);
-  REQUIRE(cluster.runUntil([&] { return ServiceCluster::codeOf(leader, question).has_value(); }, 5s));
-  CHECK(ServiceCluster::codeOf(leader, question) == ResultCode::NoQuorum);
+  const std::uint64_t request_number = cluster.replace(leader, 1);
+  REQUIRE(cluster.runUntil([&] { return ServiceCluster::codeOf(leader, request_number).has_value(); }, 5s));
+  CHECK(ServiceCluster::codeOf(leader, request_number) == ResultCode::NoQuorum);
 }
 
 TEST_CASE("Acknowledged catalogs survive the loss of two disks during a power loss of all members") {
@@ -216,10 +216,10 @@
 TEST_CASE("A follower rejects a change with the address of the leader") {
   FullCell cell;
   ServiceMember& follower = cell.follower();
-  const std::uint64_t question = cell.cluster.replace(follower, 5);
+  const std::uint64_t request_number = cell.cluster.replace(follower, 5);
   cell.cluster.runFor(50ms);
-  CHECK(ServiceCluster::codeOf(follower, question) == ResultCode::NotLeader);
-  CHECK(follower.answers[question].leader == cell.cluster.leader()->node.value);
+  CHECK(ServiceCluster::codeOf(follower, request_number) == ResultCode::NotLeader);
+  CHECK(follower.answers[request_number].leader == cell.cluster.leader()->node.value);
 }
 
 TEST_CASE("A leave notice sent to a follower is acknowledged only once every router in contact applied it") {
@@ -228,24 +228,24 @@
   ScriptedRouter& slow = cell.cluster.addRouter("edge-2");
   cell.cluster.runFor(2s);
   wire::ReplicaReport report = makeReport("r1", "desk", 1);
-  ServiceMember& told = cell.follower();
-  cell.cluster.report(told, report);
+  ServiceMember& reporting_to = cell.follower();
+  cell.cluster.report(reporting_to, report);
   cell.cluster.runFor(1s);
   REQUIRE(slow.replicas.at(ReplicaId("r1")).accepting);
   slow.silent = true;
   report.leaving = true;
   report.sequence = 2;
-  const std::uint64_t early = cell.cluster.report(told, report);
+  const std::uint64_t early = cell.cluster.report(reporting_to, report);
   cell.cluster.runFor(1200ms);
-  CHECK(ServiceCluster::codeOf(told, early) == ResultCode::NotBoundEverywhere);
+  CHECK(ServiceCluster::codeOf(reporting_to, early) == ResultCode::NotBoundEverywhere);
   CHECK_FALSE(quick.replicas.at(ReplicaId("r1")).accepting);
   slow.silent = false;
   cell.cluster.runFor(1s);
   CHECK_FALSE(slow.replicas.at(ReplicaId("r1")).accepting);
   report.sequence = 3;
-  const std::uint64_t late = cell.cluster.report(told, report);
+  const std::uint64_t late = cell.cluster.report(reporting_to, report);
   cell.cluster.runFor(500ms);
-  CHECK(ServiceCluster::codeOf(told, late) == ResultCode::Ok);
+  CHECK(ServiceCluster::codeOf(reporting_to, late) == ResultCode::Ok);
 }
 
 TEST_CASE("A router out of contact doesn't block a leave notice, and a leader that is cut off binds none") {
@@ -276,9 +276,10 @@
   ServiceMember& leader = *cell.cluster.leader();
   wire::ReplicaReport report = makeReport("r1", "desk", 1);
   report.leaving = true;
-  const std::uint64_t question = cell.cluster.report(leader, report);
-  REQUIRE(cell.cluster.runUntil([&] { return ServiceCluster::codeOf(leader, question).has_value(); }, 2s));
-  REQUIRE(ServiceCluster::codeOf(leader, question) == ResultCode::Ok);
+  const std::uint64_t request_number = cell.cluster.report(leader, report);
+  REQUIRE(
+      cell.cluster.runUntil([&] { return ServiceCluster::codeOf(leader, request_number).has_value(); }, 2s));
+  REQUIRE(ServiceCluster::codeOf(leader, request_number) == ResultCode::Ok);
   for (std::size_t i = 0; i < 5; ++i) {
     cell.cluster.powerOff(cell.cluster.member(i));
   }
@@ -305,9 +306,10 @@
   report.id = former;
   report.leaving = true;
   ServiceMember& first = *cell.cluster.leader();
-  const std::uint64_t question = cell.cluster.report(first, report);
-  REQUIRE(cell.cluster.runUntil([&] { return ServiceCluster::codeOf(first, question).has_value(); }, 2s));
-  REQUIRE(ServiceCluster::codeOf(first, question) == ResultCode::Ok);
+  const std::uint64_t request_number = cell.cluster.report(first, report);
+  REQUIRE(
+      cell.cluster.runUntil([&] { return ServiceCluster::codeOf(first, request_number).has_value(); }, 2s));
+  REQUIRE(ServiceCluster::codeOf(first, request_number) == ResultCode::Ok);
   REQUIRE_FALSE(router.replicas.at(former).accepting);
   cell.cluster.kill(first);
   wire::ReplicaReport next = makeReport("r1", "desk", 1);
@@ -332,9 +334,9 @@
   std::map<std::string, std::size_t> named;
   ServiceMember& leader = *cell.cluster.leader();
   for (std::size_t i = 1; i <= count; ++i) {
-    const std::uint64_t question =
+    const std::uint64_t request_number =
         cell.cluster.report(leader, makeReport("r" + std::to_string(i), "llm", sequence));
-    ++named[leader.answers.at(question).report_next];
+    ++named[leader.answers.at(request_number).report_next];
   }
   return named;
 }
@@ -357,8 +359,8 @@
   }
   ServiceMember& follower = cell.follower();
   cell.cluster.runFor(500ms);
-  const std::uint64_t question = cell.cluster.report(follower, makeReport("r7", "llm", 4));
-  CHECK(follower.answers.at(question).report_next == follower.node.value);
+  const std::uint64_t request_number = cell.cluster.report(follower, makeReport("r7", "llm", 4));
+  CHECK(follower.answers.at(request_number).report_next == follower.node.value);
   cell.cluster.kill(follower);
   cell.cluster.runFor(2500ms);
   CHECK_FALSE(nextMembers(cell, kMany, 5).contains(follower.node.value));
@@ -400,11 +402,11 @@
   wire::ReplicaReport report = makeReport("r1", "llm", 1);
   report.held = {{ModelName("m0"), {}}};
   router.wants = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
-  const auto beat = [&] {
+  const auto sendHeartbeat = [&] {
     ++report.sequence;
     cell.cluster.report(*cell.cluster.leader(), report);
   };
-  beat();
+  sendHeartbeat();
   REQUIRE(cell.cluster.runUntil([&] { return !cell.cluster.orders.empty(); }, 6s));
   ServiceMember& old_leader = *cell.cluster.leader();
   cell.cluster.isolate(old_leader.node);
@@ -415,7 +417,7 @@
   report.id = ReplicaId("r2");
   report.address = "r2:80";
   for (int i = 0; i < 10 && cell.cluster.orders.size() == before; ++i) {
-    beat();
+    sendHeartbeat();
     cell.cluster.runFor(1s);
   }
   REQUIRE(cell.cluster.orders.size() > before);
@@ -433,7 +435,7 @@
   REQUIRE(cell.cluster.replaceAcknowledged(2));
   ServiceMember& full = *cell.cluster.leader();
   full.disk->setCapacity(full.disk->bytes());
-  const std::uint64_t question = cell.cluster.replace(full, 5);
+  const std::uint64_t request_number = cell.cluster.replace(full, 5);
   REQUIRE(cell.cluster.runUntil(
       [&] { return cell.cluster.leader() != nullptr && cell.cluster.leader() != &full; }, 5s));
   REQUIRE(cell.cluster.replaceAcknowledged(7, 5s));
@@ -443,7 +445,7 @@
   full.disk->setCapacity(std::nullopt);
   REQUIRE(cell.cluster.runUntil(
       [&] { return full.control->view(cell.cluster.now()).catalog == CatalogVersion{7}; }, 5s));
-  CHECK(ServiceCluster::codeOf(full, question).has_value());
+  CHECK(ServiceCluster::codeOf(full, request_number).has_value());
 }
 
 TEST_CASE("A leader whose disk syncs hang transfers its leadership") {
--- a/tests/services/subscribed_fleet.h
+++ b/tests/services/subscribed_fleet.h
@@ -31,7 +31,7 @@
     };
     REQUIRE(cluster.runUntil([this] { return cluster.leader() != nullptr; }));
     for (std::size_t i = 0; i < replica_count; ++i) {
-      cluster.schedule(std::chrono::milliseconds(i % 1000), [this, i] { beat(i); });
+      cluster.schedule(std::chrono::milliseconds(i % 1000), [this, i] { sendHeartbeat(i); });
     }
     for (std::size_t i = 0; i < router_count; ++i) {
       routers.push_back(&cluster.addCallRouter("edge-" + std::to_string(i)));
@@ -65,15 +65,15 @@
     report.leaving = leaving.contains(number);
     return report;
   }
-  void beat(std::size_t number) {
-    if (gone.contains(number)) {
+  void sendHeartbeat(std::size_t number) {
+    if (stopped_replicas.contains(number)) {
       return;
     }
     ServiceMember& member = cluster.member(number % 3);
     if (member.control) {
       cluster.report(member, reportOf(number));
     }
-    cluster.schedule(std::chrono::seconds(1), [this, number] { beat(number); });
+    cluster.schedule(std::chrono::seconds(1), [this, number] { sendHeartbeat(number); });
   }
   /// Sends a call for the model to the router; an empty model: a call for the plain service.
   void call(RunningRouter& router, const std::string& model) {
@@ -98,7 +98,7 @@
   std::map<ReplicaId, std::size_t> sent_to;
   TimePoint last_sent{};
   std::set<std::size_t> leaving;
-  std::set<std::size_t> gone;
+  std::set<std::size_t> stopped_replicas;
   std::uint64_t sequence = 0;
 };
 
--- a/tests/services/subscription_test.cc
+++ b/tests/services/subscription_test.cc
@@ -40,11 +40,11 @@
   SubscribedFleet fleet(20, 600);
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"m1", "m7", "m39"}) {
-      const TimePoint asked = fleet.cluster.now();
+      const TimePoint called_at = fleet.cluster.now();
       fleet.call(*router, model);
       fleet.cluster.runFor(150ms);
-      CHECK(fleet.last_sent > asked);
-      CHECK(fleet.last_sent - asked <= 60ms);
+      CHECK(fleet.last_sent > called_at);
+      CHECK(fleet.last_sent - called_at <= 60ms);
     }
   }
   CHECK(fleet.refused() == 0);
@@ -111,11 +111,11 @@
 
 TEST_CASE("A leave notice doesn't wait for the next regular status of each router") {
   constexpr std::size_t kReplicas = 600;
-  constexpr Duration kSooner = 150ms;  // routers report their status every 250 ms
+  constexpr Duration kNoticeLimit = 150ms;  // routers report their status every 250 ms
   SubscribedFleet fleet(40, kReplicas);
   fleet.cluster.runFor(2s);
   ServiceMember& leader = *fleet.cluster.leader();
-  const auto give = [&fleet, &leader](std::size_t number) {
+  const auto sendNotice = [&fleet, &leader](std::size_t number) {
     fleet.leaving.insert(number);
     return fleet.cluster.report(leader, fleet.reportOf(number));
   };
@@ -123,10 +123,10 @@
   std::size_t noticed = 0;
   for (std::size_t number = 0; number + kPlainShare < kReplicas; number += 2 * kPlainShare) {
     // The second notice arrives during the pause after the round of updates for the first.
-    const std::uint64_t first = give(number);
+    const std::uint64_t first = sendNotice(number);
     fleet.cluster.runFor(6ms);
-    const std::uint64_t second = give(number + kPlainShare);
-    fleet.cluster.runFor(kSooner);
+    const std::uint64_t second = sendNotice(number + kPlainShare);
+    fleet.cluster.runFor(kNoticeLimit);
     for (const std::uint64_t notice : {first, second}) {
       late += ServiceCluster::codeOf(leader, notice) == ResultCode::Ok ? 0 : 1;
       ++noticed;
@@ -195,16 +195,16 @@
 TEST_CASE("Unchanged reports are relayed to the leader, and only one in sixteen to the other members") {
   constexpr std::size_t kReplicas = 600;
   constexpr std::size_t kSeconds = 10;
-  const auto livesTold = [=](std::size_t members) {
+  const auto relayedReports = [=](std::size_t members) {
     SubscribedFleet fleet(4, kReplicas, members);
     fleet.cluster.lives_told = 0;
     fleet.cluster.runFor(1s * kSeconds);
     return fleet.cluster.lives_told;
   };
   for (const std::size_t members : {3, 5, 9}) {
-    const std::size_t told = livesTold(members);
-    INFO(told << " of " << members << " members");
-    CHECK(told <= kReplicas * kSeconds + kReplicas * kSeconds * members / 16);
+    const std::size_t relayed = relayedReports(members);
+    INFO(relayed << " of " << members << " members");
+    CHECK(relayed <= kReplicas * kSeconds + kReplicas * kSeconds * members / 16);
   }
 }
 
