--- a/src/services/service_control_subscriptions.cc
+++ b/src/services/service_control_subscriptions.cc
@@ -3,28 +3,29 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl that keeps a member's work for routers from growing as routers x replicas:
-/// from some size on routers are told of the replicas that their calls may need alone, tell their status the
-/// less often the more of them there are, and are known to members that don't lead by what the leader tells.
+/// The part of ServiceControlImpl that keeps a member's work for routers from growing as routers x replicas.
+/// In a large fleet routers receive only the replicas that their calls may need, report their status less
+/// often the more routers there are, and members that don't lead get the list of routers from the leader.
 namespace ferryrock::services {
 namespace {
 
-/// Up to so many routers are told of each change at once.
-constexpr std::size_t kSmallFleet = 16;
-/// Up to so many replicas a table of all of them is smaller than what it takes to ask, some 36 kB.
-constexpr std::size_t kMostToldToAll = 512;
-/// Replicas that report to the leader itself; of more, each costs it a connection and an answer in a
-/// heartbeat that the other members can bear.
-constexpr std::size_t kReplicasAtLeader = 400;
-/// Statuses a second that a leader wants of all routers together, and that another member wants.
-constexpr double kStatusesAtLeader = 1000;
-constexpr double kStatusesAtMember = 250;
-constexpr Duration kLeastMemberInterval = std::chrono::seconds(1);
-/// Routers whose statuses can be missed for longer are cut off, frozen or gone. Updates for them would only
-/// wait in memory; the next status brings what they lack.
-constexpr Duration kReachedFor = std::chrono::milliseconds(1500);
-
-Duration spreadOver(std::size_t routers, double statuses_per_second) {
+/// Up to this many routers, every change is sent to all routers at once.
+constexpr std::size_t kMaxSmallFleetRouters = 16;
+/// Up to this many replicas routers get tables of all replicas: at some 36 kB such a table is smaller than
+/// the messages that subscriptions take.
+constexpr std::size_t kMaxReplicasInFullTables = 512;
+/// Up to this many replicas report to the leader itself. Beyond that they report to the other members, since
+/// each costs a connection and a response per heartbeat.
+constexpr std::size_t kMaxReplicasAtLeader = 400;
+/// Target rates of router statuses per second, over all routers, at the leader and at each other member.
+constexpr double kLeaderStatusRate = 1000;
+constexpr double kMemberStatusRate = 250;
+constexpr Duration kMinMemberInterval = std::chrono::seconds(1);
+/// Routers without a status for longer than this are cut off, frozen or gone. Updates for them would only
+/// occupy memory; they receive what they lack after their next status.
+constexpr Duration kContactTimeout = std::chrono::milliseconds(1500);
+
+Duration intervalForRate(std::size_t routers, double statuses_per_second) {
   const std::chrono::duration<double> interval(static_cast<double>(routers) / statuses_per_second);
   return std::chrono::duration_cast<Duration>(interval);
 }
@@ -32,39 +33,41 @@
 }  // namespace
 
 bool ServiceControlImpl::isLargeFleet() const {
-  return directory_.routers().size() > kSmallFleet;
+  return directory_.routers().size() > kMaxSmallFleetRouters;
 }
 
 bool ServiceControlImpl::hasManyReplicas() const {
-  return registry_.replicas().size() > kReplicasAtLeader;
+  return registry_.replicas().size() > kMaxReplicasAtLeader;
 }
 
 Duration ServiceControlImpl::leaderStatusInterval() const {
-  return spreadOver(directory_.routers().size(), kStatusesAtLeader);
+  return intervalForRate(directory_.routers().size(), kLeaderStatusRate);
 }
 
-/// In whole powers of the least one, so that routers tell all members in one step. Zero: routers' default.
+/// The interval is a power-of-two multiple of kMinMemberInterval, so that routers report to all members in
+/// one step. Zero: the routers' default interval.
 Duration ServiceControlImpl::memberStatusInterval() const {
-  const Duration least = spreadOver(directory_.routers().size(), kStatusesAtMember);
-  if (least <= kLeastMemberInterval) {
+  const Duration least = intervalForRate(directory_.routers().size(), kMemberStatusRate);
+  if (least <= kMinMemberInterval) {
     return Duration::zero();
   }
-  Duration interval = kLeastMemberInterval;
+  Duration interval = kMinMemberInterval;
   while (interval < least) {
     interval *= 2;
   }
   return interval;
 }
 
-Duration ServiceControlImpl::reachedFor() const {
-  return std::max(kReachedFor, leaderStatusInterval() * 5 / 2);
+Duration ServiceControlImpl::contactTimeout() const {
+  return std::max(kContactTimeout, leaderStatusInterval() * 5 / 2);
 }
 
 bool ServiceControlImpl::subscribes(const wire::CallRouterStatus& status) const {
   return leader_->has_subscriptions && status.subscribes;
 }
 
-/// From here on to the end of the term; what routers hold by now isn't known.
+/// Switches to subscriptions until the end of the term. The tables that routers hold at this point aren't
+/// known.
 void ServiceControlImpl::beginSubscriptions() {
   leader_->has_subscriptions = true;
   for (const auto& [router, record] : directory_.routers()) {
@@ -74,18 +77,19 @@
   }
 }
 
-void ServiceControlImpl::followReplicas() {
+void ServiceControlImpl::applyReplicaChanges() {
   const ReplicaIndex::Changes changes = index_.follow(registry_);
   if (!leader_) {
     return;
   }
-  if (!leader_->has_subscriptions && registry_.replicas().size() > kMostToldToAll) {
+  if (!leader_->has_subscriptions && registry_.replicas().size() > kMaxReplicasInFullTables) {
     beginSubscriptions();
   }
-  leader_->tables.follow(changes);
+  leader_->tables.applyChanges(changes);
 }
 
-/// A model that some replica holds needs no plan: the router just doesn't know of it yet.
+/// Returns true if a call waits for a model that needs placement. For a subscribed router, a model that some
+/// replica has loaded needs none: its next table lists that replica.
 bool ServiceControlImpl::needsPlan(const wire::CallRouterStatus& status) const {
   return std::any_of(status.wants.begin(), status.wants.end(), [&](const wire::ModelWant& want) {
     const bool held = !index_.find({want.service, want.model, want.adapter}).empty();
@@ -93,9 +97,9 @@
   });
 }
 
-/// A member that hears of routers too seldom to offer them to callers is told them, where it doesn't hold the
-/// same already.
-void ServiceControlImpl::sayContacts(wire::MemberHello& hello, const NodeName& node,
+/// Adds the leader's list of routers to the hello for a member that receives statuses too rarely to offer
+/// routers to callers, unless the member reported that it holds the same list.
+void ServiceControlImpl::addContacts(wire::MemberHello& hello, const NodeName& node,
                                      const std::vector<wire::RouterContact>& contacts) const {
   hello.contacts.reset();
   if (contacts.empty()) {
@@ -109,15 +113,15 @@
   }
 }
 
-void ServiceControlImpl::takeContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now) {
+void ServiceControlImpl::applyContacts(const NodeName& from, const wire::MemberHello& hello, TimePoint now) {
   directory_.setStatusInterval(leader_ ? leaderStatusInterval() : memberStatusInterval());
   if (leader_ || from != node_->log().leader()) {
     return;
   }
   if (hello.contacts) {
-    directory_.takeContacts(*hello.contacts, now);
+    directory_.applyContacts(*hello.contacts, now);
   } else if (hello.contacts_digest != 0 && hello.contacts_digest == directory_.contactsDigest()) {
-    directory_.keepContacts(now);
+    directory_.renewContacts(now);
   }
 }
 
--- a/src/services/service_control_zones.cc
+++ b/src/services/service_control_zones.cc
@@ -3,21 +3,21 @@
 
 #include "services/service_control_impl.h"
 
-/// The part of ServiceControlImpl that takes zones out of use and gives them back. The replicated state holds
-/// which zones are evacuated, and the replica registry of each member goes by it: routers get the zone's
-/// replicas as closed with the next update, whoever leads.
+/// The part of ServiceControlImpl that evacuates zones and returns them to use. The evacuated zones are part
+/// of the replicated state, which every member applies to its replica registry. Whichever member leads,
+/// routers receive the zone's replicas as closed with the next update.
 namespace ferryrock::services {
 
-Effects ServiceControlImpl::evacuateZone(QuestionNumber question, const ZoneName& zone, bool evacuated,
+Effects ServiceControlImpl::evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
                                          TimePoint now) {
   const bool held = node_->hosted().evacuated().contains(zone);
   if (!isKnownZone(zone)) {
     constexpr std::size_t kShown = 64;
-    answer(question, ResultCode::UnknownZone, "'" + zone.value.substr(0, kShown) + "'");
+    answer(request_number, ResultCode::UnknownZone, "'" + zone.value.substr(0, kShown) + "'");
   } else if (node_->leads() && held == evacuated) {
-    confirmRead(StateHeld{question}, now);
+    confirmRead(StateInForce{request_number}, now);
   } else {
-    propose(EvacuationProposal{question}, wire::EvacuateZoneCommand{zone, evacuated}, now);
+    propose(EvacuationProposal{request_number}, wire::EvacuateZoneCommand{zone, evacuated}, now);
   }
   return finish(now);
 }
@@ -27,7 +27,7 @@
   return {zones.begin(), zones.end()};
 }
 
-/// Without zones in the settings those of known replicas are all that can be told apart.
+/// If the settings list no zones, only zones that are evacuated or have known replicas are valid.
 bool ServiceControlImpl::isKnownZone(const ZoneName& zone) const {
   if (node_->hosted().evacuated().contains(zone)) {
     return true;
@@ -39,7 +39,7 @@
                      [&zone](const auto& item) { return item.second.report.zone == zone; });
 }
 
-void ServiceControlImpl::followEvacuations() {
+void ServiceControlImpl::applyEvacuations() {
   const std::uint64_t changes = registry_.changes();
   registry_.setEvacuated(node_->hosted().evacuated());
   if (leader_ && registry_.changes() != changes) {
--- a/tests/services/subscription_test.cc
+++ b/tests/services/subscription_test.cc
@@ -7,19 +7,19 @@
 
 #include "services/subscribed_fleet.h"
 
-/// What a cell sends to routers of a fleet too large to tell each of them every replica: counted at two
-/// sizes, so that what grows as routers x replicas shows.
+/// Updates of a cell to routers in a fleet that is too large to send every replica to every router. Entries
+/// are counted at several fleet sizes to detect growth as routers x replicas.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-TEST_CASE("What routers are told grows with the routers, not with routers x replicas") {
+TEST_CASE("The replica entries sent to routers grow with the routers, not with routers x replicas") {
   constexpr std::size_t kRouters = 24;
   const auto entriesFor = [](std::size_t routers, std::size_t replicas) {
     SubscribedFleet fleet(routers, replicas);
     fleet.cluster.entries_sent = 0;
-    fleet.cluster.kill(*fleet.cluster.leader());  // the next leader owes all routers their tables
+    fleet.cluster.kill(*fleet.cluster.leader());  // the next leader has to send tables to all routers
     for (RunningRouter* router : fleet.routers) {
       fleet.call(*router, "m1");
     }
@@ -36,21 +36,21 @@
   CHECK(small <= kRouters * 100);
 }
 
-TEST_CASE("A call for a model that its router doesn't know of is served within a round trip and a round") {
+TEST_CASE("A call for a model that its router has no replica of is sent within 60 ms") {
   SubscribedFleet fleet(20, 600);
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"m1", "m7", "m39"}) {
-      const TimePoint asked = fleet.cluster.now();
+      const TimePoint called_at = fleet.cluster.now();
       fleet.call(*router, model);
       fleet.cluster.runFor(150ms);
-      CHECK(fleet.last_sent > asked);
-      CHECK(fleet.last_sent - asked <= 60ms);
+      CHECK(fleet.last_sent > called_at);
+      CHECK(fleet.last_sent - called_at <= 60ms);
     }
   }
   CHECK(fleet.refused() == 0);
 }
 
-TEST_CASE("Calls of all routers use all replicas of a service without models") {
+TEST_CASE("Calls of all routers are distributed over all replicas of a service without models") {
   constexpr std::size_t kRouters = 40;
   constexpr std::size_t kReplicas = 600;
   constexpr std::size_t kCallsEach = 20;
@@ -73,7 +73,7 @@
   CHECK(busiest <= 3 * kRouters * kCallsEach / kPlain);
 }
 
-TEST_CASE("Notices of many replicas bind soon, and no router sends to a replica whose notice has bound") {
+TEST_CASE("Leave notices of many replicas bind in time, and no router sends calls there afterwards") {
   SubscribedFleet fleet(40, 800);
   for (RunningRouter* router : fleet.routers) {
     for (const char* model : {"m1", "m2", "m3"}) {
@@ -109,25 +109,24 @@
   }
 }
 
-TEST_CASE(
-    "A notice doesn't wait for the regular statuses of routers, whenever it comes between two of them") {
+TEST_CASE("A leave notice doesn't wait for the next regular status of each router") {
   constexpr std::size_t kReplicas = 600;
-  constexpr Duration kSooner = 150ms;  // routers tell their status each 250 ms
+  constexpr Duration kNoticeLimit = 150ms;  // routers report their status every 250 ms
   SubscribedFleet fleet(40, kReplicas);
   fleet.cluster.runFor(2s);
   ServiceMember& leader = *fleet.cluster.leader();
-  const auto give = [&fleet, &leader](std::size_t number) {
+  const auto sendNotice = [&fleet, &leader](std::size_t number) {
     fleet.leaving.insert(number);
     return fleet.cluster.report(leader, fleet.reportOf(number));
   };
   std::size_t late = 0;
   std::size_t noticed = 0;
   for (std::size_t number = 0; number + kPlainShare < kReplicas; number += 2 * kPlainShare) {
-    // The second comes while the round of updates for the first keeps the next one waiting.
-    const std::uint64_t first = give(number);
+    // The second notice arrives during the pause after the round of updates for the first.
+    const std::uint64_t first = sendNotice(number);
     fleet.cluster.runFor(6ms);
-    const std::uint64_t second = give(number + kPlainShare);
-    fleet.cluster.runFor(kSooner);
+    const std::uint64_t second = sendNotice(number + kPlainShare);
+    fleet.cluster.runFor(kNoticeLimit);
     for (const std::uint64_t notice : {first, second}) {
       late += ServiceCluster::codeOf(leader, notice) == ResultCode::Ok ? 0 : 1;
       ++noticed;
@@ -138,7 +137,8 @@
   CHECK(late == 0);
 }
 
-TEST_CASE("A router that may use a leaving replica and is silent holds the notice up; others don't") {
+TEST_CASE(
+    "A leave notice waits only for silent routers that may use the replica, until they are out of contact") {
   SubscribedFleet fleet(20, 600);
   RunningRouter& user = *fleet.routers.front();
   fleet.call(user, "m1");
@@ -152,7 +152,7 @@
   const std::uint64_t held_up = fleet.cluster.report(leader, fleet.reportOf(number));
   fleet.cluster.runFor(900ms);
   CHECK(ServiceCluster::codeOf(leader, held_up) == ResultCode::NotBoundEverywhere);
-  // Of a router that is out of touch nothing is expected.
+  // A router that is out of contact doesn't block the notice.
   fleet.cluster.runFor(3s);
   const std::uint64_t free = fleet.cluster.report(leader, fleet.reportOf(number));
   fleet.cluster.runFor(900ms);
@@ -167,7 +167,7 @@
   CHECK(fleet.sent_to[ReplicaId(used)] == 0);
 }
 
-TEST_CASE("Calls go on through the loss of the leader, and the next one knows every replica") {
+TEST_CASE("No call is refused during a change of leader, and the new leader knows every replica") {
   SubscribedFleet fleet(20, 600);
   const auto callAll = [&fleet] {
     for (RunningRouter* router : fleet.routers) {
@@ -192,19 +192,19 @@
   CHECK(fleet.refused() == 0);
 }
 
-TEST_CASE("Of a sign of life the leader hears, and other members of one in sixteen") {
+TEST_CASE("Unchanged reports are relayed to the leader, and only one in sixteen to the other members") {
   constexpr std::size_t kReplicas = 600;
   constexpr std::size_t kSeconds = 10;
-  const auto livesTold = [=](std::size_t members) {
+  const auto relayedReports = [=](std::size_t members) {
     SubscribedFleet fleet(4, kReplicas, members);
     fleet.cluster.lives_told = 0;
     fleet.cluster.runFor(1s * kSeconds);
     return fleet.cluster.lives_told;
   };
   for (const std::size_t members : {3, 5, 9}) {
-    const std::size_t told = livesTold(members);
-    INFO(told << " of " << members << " members");
-    CHECK(told <= kReplicas * kSeconds + kReplicas * kSeconds * members / 16);
+    const std::size_t relayed = relayedReports(members);
+    INFO(relayed << " of " << members << " members");
+    CHECK(relayed <= kReplicas * kSeconds + kReplicas * kSeconds * members / 16);
   }
 }
 
