--- a/src/services/model_demand.cc
+++ b/src/services/model_demand.cc
@@ -6,7 +6,7 @@
 namespace ferryrock::services {
 namespace {
 
-/// Time in which an arrival loses all but 1/e of its weight.
+/// Time constant: an arrival's weight decays to 1/e within this time.
 constexpr double kFadeSeconds = 4.0;
 constexpr double kSlowFadeSeconds = 20.0;
 constexpr double kForgottenBelow = 0.02;
--- a/src/services/model_demand.h
+++ b/src/services/model_demand.h
@@ -11,36 +11,37 @@
 
 namespace ferryrock::services {
 
-/// A model of a service, or one of its adapters.
+/// Identifies a model of a service, or one adapter of that model.
 struct ModelKey {
   ServiceName service;
   ModelName model;
-  std::string adapter;                                                  ///< empty: the model alone
+  std::string adapter;                                                  ///< empty: the model itself
   friend auto operator<=>(const ModelKey&, const ModelKey&) = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// Demand for one key over all routers.
+/// Demand for one key, summed over all routers.
 struct KeyDemand {
-  /// Arrivals a second, of the last seconds.
+  /// Arrivals per second, averaged over the last few seconds.
   double rate() const;
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
-  double recent_arrivals = 0;   ///< arrivals, each fading over some seconds
-  double lasting_arrivals = 0;  ///< the same, fading more slowly
+  double recent_arrivals = 0;   ///< arrivals, decaying exponentially within seconds
+  double lasting_arrivals = 0;  ///< arrivals, decaying more slowly; ranks what to evict
   TimePoint last_wanted{};
 };
 
-/// Merges what routers report that their calls want. Used by one thread.
+/// Aggregates the call counts that routers report per model and adapter. Not thread-safe.
 class ModelDemand {
  public:
   void accept(const NodeName& router, const std::vector<wire::ModelWant>& wants, TimePoint now);
-  /// Forgets the routers that the directory doesn't list.
+  /// Discards the counts of routers that the directory doesn't list.
   void keepRouters(const std::map<NodeName, RouterRecord>& routers);
 
-  /// Keys that are or were wanted; adapters' calls count for their models too.
+  /// Keys with current or recent demand. Calls for an adapter also count for its model.
   const std::map<ModelKey, KeyDemand>& keys() const { return keys_; }
   KeyDemand find(const ModelKey& key) const;
-  /// Lets arrivals fade up to now and drops keys that have faded away.
+  /// Decays the arrival counts up to `now` and removes keys without calls whose arrivals have decayed to
+  /// almost zero.
   void fade(TimePoint now);
 
  private:
--- a/src/services/model_placer.cc
+++ b/src/services/model_placer.cc
@@ -10,7 +10,8 @@
 namespace ferryrock::services {
 namespace {
 
-/// An order that wasn't answered may be carried out so much later: the longest that the users name.
+/// A replica may carry out an unanswered order with a delay of up to 12 s, the longest that operators
+/// specify.
 constexpr Duration kLateOrders = std::chrono::seconds(12);
 
 }  // namespace
@@ -36,7 +37,8 @@
   return std::exchange(effects_, {});
 }
 
-/// An order names the replica and the count of orders taken; both may be the same in its next life.
+/// An unanswered load stays accounted for after a restart: the order identifies the replica by its name and
+/// its count of accepted orders, and both may be the same in the next incarnation.
 void ModelPlacer::followLives(TimePoint now) {
   std::erase_if(strays_, [now](const auto& item) { return now >= item.second.until; });
   std::erase_if(engines_, [&](const auto& item) {
@@ -64,7 +66,7 @@
       }
     }
     if (record.report.service == service.name && registry_.takesCalls(record) && !unreachable.contains(id)) {
-      // Both are in the order of ids.
+      // Both maps are sorted by id, so one pass merges them.
       while (engine != engines_.end() && engine->first < id) {
         ++engine;
       }
@@ -85,7 +87,7 @@
   return candidates;
 }
 
-/// When models that no replica serves yet should serve, by the loads under way.
+/// Records when models that no replica serves yet are expected to serve, from the loads in progress.
 void ModelPlacer::noteExpected(const wire::HostedService& service, const Candidates& candidates,
                                TimePoint now) {
   for (const Candidate& candidate : candidates) {
@@ -108,7 +110,7 @@
   return found == models_.end() ? nullptr : found->second;
 }
 
-/// Few of the replicas of a large service are looked at in a plan.
+/// Computed lazily, because a plan evaluates only a few replicas of a large service.
 double& ModelPlacer::usedOf(const wire::HostedService& service, Candidate& candidate) {
   if (!candidate.used_mb) {
     candidate.used_mb = usedMegabytes(*candidate.record, *candidate.engine, *service.engine);
@@ -117,8 +119,8 @@
   return *candidate.used_mb;
 }
 
-/// Takes from reports that a load or an unload has ended. A load that is late isn't given up while its
-/// replica is at it: the replica is asked.
+/// Ends loads and unloads that reports show as complete. A load that is late isn't cancelled while the
+/// replica may still be executing it; the replica is inspected instead.
 void ModelPlacer::settleFinished(Candidates& candidates, TimePoint now) {
   for (Candidate& candidate : candidates) {
     Engine& engine = *candidate.engine;
@@ -203,7 +205,7 @@
   }
 }
 
-/// The candidates that hold the models of these keys, or are being ordered something of them.
+/// Candidates that hold the models of these keys, or that have an adapter load or a pending order for them.
 ModelPlacer::HoldersByModel ModelPlacer::holdersOf(const std::vector<ModelKey>& keys,
                                                    Candidates& candidates) const {
   HoldersByModel holders;
@@ -230,8 +232,8 @@
   return holders;
 }
 
-/// On the replica that holds the model with the fewest adapters, one that can take the order now if there is
-/// any; the adapter least wanted gives way.
+/// Picks the replica that holds the model with the fewest adapters, preferring one that can accept the order
+/// now. If it has no free slot or memory, evicts the idle adapter with the lowest demand.
 void ModelPlacer::loadAdapter(const wire::HostedService& service, const ModelKey& key,
                               const std::vector<Candidate*>& holders, TimePoint now) {
   const wire::HostedModel* model = modelNamed(key.model);
--- a/src/services/model_placer.h
+++ b/src/services/model_placer.h
@@ -26,38 +26,39 @@
 struct ModelPlacerSettings {
   NodeName holder;
   Term fence;
-  /// No order leaves earlier: until then an earlier leader's lease may hold.
+  /// No order is sent before this time, because the lease of an earlier leader may still be valid.
   TimePoint first_order{};
   PlacementSwitches switches;
 };
 
-/// Decides which replica loads and unloads which model and adapter, for one leader's term. What a replica
-/// holds is what it says; on top of that the placer keeps what it ordered. One order at a time to a replica,
-/// each with the count of orders that the replica has taken, so that one carried out late can't follow a
-/// newer one. Used by one thread.
+/// Decides which replica loads and unloads which models and adapters, for one leader's term. The contents of
+/// a replica are those that it reports, plus the effects of orders that no report shows yet. Each replica has
+/// at most one order in progress. An order carries the number of orders that the replica has accepted so far,
+/// so that a delayed order cannot be carried out after a newer one. Not thread-safe.
 class ModelPlacer {
  public:
   ModelPlacer(const ModelPlacerSettings& settings, ReplicaRegistry& registry, ModelDemand& demand)
       : settings_(settings), registry_(registry), demand_(demand), nearest_weights_(registry) {}
 
-  /// unreachable: replicas that routers can't connect to; what they hold serves nobody, and they get no
+  /// unreachable: replicas that routers can't connect to. Their models count as not loaded, and they get no
   /// orders.
   PlacerEffects plan(const wire::ServiceCatalog& catalog, const std::set<ReplicaId>& unreachable,
                      TimePoint now);
-  /// Replicas that are slower than others, by balance::loadKey() of their ids; those that aren't listed are
-  /// taken as equal.
+  /// Sets the slowness of replicas relative to others, by balance::loadKey() of their ids. Replicas that
+  /// aren't listed run at full speed.
   void takeSlowness(std::map<std::uint32_t, double> slowness) { slowness_ = std::move(slowness); }
-  /// When a model that no replica holds should serve; nullopt: it isn't known, or a replica holds it.
+  /// Time at which a model that no replica holds is expected to serve; nullopt if the time is unknown or a
+  /// replica holds the model.
   std::optional<TimePoint> expectedAt(const wire::HostedService& service, const ModelName& model,
                                       TimePoint now);
-  /// Raised with each load of a model, and with each unload that makes room for one.
+  /// Number of model loads ordered so far, plus model unloads that free memory for a load.
   std::uint64_t loadsBegun() const { return loads_begun_; }
-  /// Replicas whose room was worked out by the last plan.
+  /// Number of replicas whose used memory the last plan() computed.
   std::size_t compared() const { return compared_; }
-  /// Replicas that were looked at for expectedAt().
+  /// Number of replicas scanned for expectedAt().
   std::uint64_t replicasPassedForExpected() const { return nearest_weights_.replicasPassed(); }
   void onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now);
-  /// nullopt: the replica didn't answer.
+  /// state: nullopt if the replica didn't answer.
   void onInspected(OrderNumber number, const std::optional<ReplicaState>& state, TimePoint now);
 
  private:
@@ -69,33 +70,33 @@
     bool inspecting = false;
     TimePoint since{};
   };
-  /// What the placer knows of one replica beyond its reports.
+  /// State of one replica that its reports don't contain.
   struct Engine {
     std::optional<std::uint64_t> orders_taken;
     std::optional<Pending> pending;
-    std::optional<ModelName> loading;  ///< taken, not yet in a report
+    std::optional<ModelName> loading;  ///< load in progress that no report shows yet
     double loading_mb = 0;
     TimePoint loading_since{};
-    Duration loading_time{};            ///< as expected
-    TimePoint doubted_from{};           ///< when the replica is asked whether it is at the load
-    StoreLoads* store = nullptr;        ///< counts the load, if it is one from the weight store
-    std::optional<ModelName> room_for;  ///< unloads something for that model
+    Duration loading_time{};            ///< expected duration
+    TimePoint doubted_from{};           ///< time to inspect the replica for the outcome of its order
+    StoreLoads* store = nullptr;        ///< tracks the load if it reads from the weight store
+    std::optional<ModelName> room_for;  ///< model for which another one is being unloaded
     TimePoint room_since{};
     std::optional<ModelName> unloading;
     TimePoint unloading_since{};
-    TimePoint not_before{};  ///< of the next order
-    int unanswered = 0;      ///< inspections in a row
-    /// What the last inspection showed and what was ordered since, beyond the reports. Reports can be older.
+    TimePoint not_before{};  ///< earliest time of the next order
+    int unanswered = 0;      ///< consecutive inspections without an answer
+    /// Contents by the last inspection and the orders since. Reports may be older than these.
     std::set<ModelName> models;
     std::set<AdapterKey> adapters;
     TimePoint inspected{};
   };
-  /// A replica that may get orders, as the plan sees it.
+  /// A replica that may receive orders, as seen by the current plan.
   struct Candidate {
     const ReplicaRecord* record = nullptr;
     Engine* engine = nullptr;
-    std::optional<double> used_mb;  ///< worked out where it is asked for, see usedOf()
-    TimePoint claimed_until{};      ///< a model that is more urgent will use it until then
+    std::optional<double> used_mb;  ///< computed on first use, see usedOf()
+    TimePoint claimed_until{};      ///< until then the replica is claimed for a more urgent model
   };
   using Candidates = std::vector<Candidate>;
   using CopyCounts = std::map<ModelName, std::size_t>;
@@ -103,20 +104,20 @@
   using HoldersByModel = std::map<ModelName, std::vector<Candidate*>>;
   struct WantedModel {
     double urgency = 0;
-    bool missing = false;  ///< no replica holds it
+    bool missing = false;  ///< no replica holds the model
     const wire::HostedModel* model = nullptr;
   };
-  /// The most urgent first.
+  /// Sorted by descending urgency.
   using WantedModels = std::vector<WantedModel>;
   class NearWeights;
-  /// What gives way on a replica.
+  /// The model to evict from a replica.
   struct Victim {
     ModelName model;
     double worth = 0;
-    double evictable_mb = 0;  ///< of all that may give way there
+    double evictable_mb = 0;  ///< total size of all evictable models on the replica
     bool running = false;
   };
-  /// One way to place a model.
+  /// One possible placement of a model.
   struct Option {
     Candidate* candidate = nullptr;
     std::optional<ModelName> victim;
@@ -125,28 +126,28 @@
     bool possible_now = false;
   };
   struct Placement {
-    std::optional<TimePoint> ready;  ///< when the model should serve; none: it can't be told
+    std::optional<TimePoint> ready;  ///< expected time at which the model serves; nullopt: unknown
     UnplacedReason reason = UnplacedReason::None;
     std::uint32_t near_replicas = 0;
   };
   struct Note {
     TimePoint at{};
   };
-  /// A load that a former life of a replica was ordered and didn't answer for: its present life may carry it
-  /// out until then.
+  /// Load ordered from an earlier incarnation of a replica that never answered. The current incarnation may
+  /// still carry it out until the given time.
   struct StrayLoad {
     double megabytes = 0;
     TimePoint until{};
   };
 
   // model_placer.cc
-  /// Forgets replicas, and former lives of replicas, that are gone.
+  /// Discards the state of replicas and incarnations that the registry no longer knows.
   void followLives(TimePoint now);
   void settleFinished(Candidates& candidates, TimePoint now);
   static void settleUnload(Candidate& candidate);
   void noteExpected(const wire::HostedService& service, const Candidates& candidates, TimePoint now);
   static bool loadIsLate(const Engine& engine, TimePoint now);
-  /// Ends the order or the inspection of this number; nullptr: it isn't known any more.
+  /// Removes the pending order or inspection with this number; engines_.end() if it is no longer pending.
   std::map<ReplicaId, Engine>::iterator takePending(OrderNumber number);
   Candidates candidatesOf(const wire::HostedService& service, const std::set<ReplicaId>& unreachable,
                           TimePoint now);
@@ -155,7 +156,7 @@
                        const wire::EngineTraits& traits) const;
   void indexModels(const wire::EngineTraits& traits);
   const wire::HostedModel* modelNamed(const ModelName& name) const;
-  /// Adapters on a replica or on their way, as far as they may be there.
+  /// Adapters that are, or may be, loaded on the replica, including loads in progress.
   static std::set<AdapterKey> adaptersOf(const ReplicaRecord& record, const Engine& engine);
   bool ready(const Candidate& candidate, TimePoint now) const;
   void placeAdapters(const wire::HostedService& service, Candidates& candidates, TimePoint now);
@@ -181,7 +182,7 @@
   TimePoint freeAt(const wire::HostedService& service, const Candidate& candidate, TimePoint now) const;
   std::optional<Victim> leastWorth(const wire::HostedService& service, const Candidate& candidate,
                                    TimePoint now) const;
-  /// Worth of keeping the model on a replica; nullopt: it must stay.
+  /// Value of keeping the model on a replica; nullopt if it must not be evicted.
   std::optional<double> keepWorth(const wire::HostedService& service, const ModelName& model,
                                   TimePoint now) const;
   Placement take(const wire::HostedService& service, const wire::HostedModel& model, const Option& option,
@@ -189,23 +190,24 @@
   void beginLoad(const wire::HostedService& service, const wire::HostedModel& model, Candidate& candidate,
                  TimePoint now);
   void forgetPromises(const wire::HostedService& service, const WantedModels& wanted);
-  /// Copies that serve or are about to, by model.
+  /// Counts, by model, the copies that serve or are being loaded.
   void countCopies(const Candidates& candidates, TimePoint now);
   std::size_t copies(const ModelName& model) const;
-  /// The copies of a model as so many on replicas of full speed.
+  /// Copies of a model, expressed as the equivalent number of copies on full-speed replicas.
   double capacity(const ModelName& model) const;
   Capacities lostCapacities(const Candidates& candidates) const;
   double slownessOf(const ReplicaId& replica) const;
   double urgency(const wire::HostedService& service, const ModelName& model, const KeyDemand& demand) const;
   static void dropReservations(Candidates& candidates, const WantedModels& wanted, TimePoint now);
-  /// Calls running or waiting for which one copy is enough.
+  /// Running plus waiting calls that one copy can carry.
   static double callsInHandPerCopy(const wire::HostedService& service);
-  /// Copies on replicas of full speed for which the demand is enough.
+  /// Number of copies on full-speed replicas that the demand requires.
   double wantedCapacity(const wire::HostedService& service, const ModelName& model) const;
   bool waitsForRuns(const wire::HostedService& service, const Engine& engine) const;
 
   // model_placer_orders.cc
-  /// Orders, or first inspects a replica whose count of orders isn't known.
+  /// Sends the order, or an inspection first if the replica's count of accepted orders is unknown or
+  /// outdated.
   void order(Candidate& candidate, OrderAction action, const ModelName& model, const std::string& adapter,
              double megabytes, TimePoint now);
   void inspect(Candidate& candidate, TimePoint now);
@@ -220,23 +222,24 @@
   ModelDemand& demand_;
   NearestWeights nearest_weights_;
   std::map<ReplicaId, Engine> engines_;
-  std::map<std::string, StrayLoad> strays_;  ///< by the name that the replica gives itself
+  std::map<std::string, StrayLoad> strays_;  ///< by replica name, without the incarnation
   std::map<ServiceName, StoreLoads> stores_;
   std::map<ServiceModel, TimePoint>
-      expected_;                     ///< when models that are missing should serve, by the last plan
-  std::set<ServiceModel> promised_;  ///< their callers were told when to come back
+      expected_;                     ///< expected serving times of missing models, by the last plan
+  std::set<ServiceModel> promised_;  ///< missing models whose callers got a time to retry after
   std::map<ServiceModel, Note> noted_;
   std::uint64_t next_number_ = 1;
   std::uint64_t loads_begun_ = 0;
   std::map<std::uint32_t, double> slowness_;
-  Capacities lost_capacity_;    ///< what the copies lack that stand on slow replicas
-  CopyCounts copies_;           ///< of the service that is planned, as the plan goes on
-  std::set<ModelName> served_;  ///< models that some replica of the service serves
-  std::unordered_map<std::string_view, const wire::HostedModel*> models_;  ///< of the service that is planned
+  Capacities lost_capacity_;    ///< copies of capacity lost by model, because slow replicas hold some of them
+  CopyCounts copies_;           ///< copies by model of the service being planned, updated during the plan
+  std::set<ModelName> served_;  ///< models that at least one replica of the service serves
+  std::unordered_map<std::string_view, const wire::HostedModel*>
+      models_;  ///< index of the models of the service being planned
   std::map<OrderNumber, ReplicaId> pending_orders_;
-  std::size_t first_compared_ = 0;  ///< where the next comparison of replicas begins
+  std::size_t first_compared_ = 0;  ///< index of the first candidate of the next comparison
   std::size_t compared_ = 0;
-  /// That replicas of evacuated zones hold, of the service that is planned.
+  /// Models held by replicas in evacuated zones, of the service being planned.
   std::set<ModelName> evacuated_models_;
   PlacerEffects effects_;
 };
--- a/src/services/model_placer_models.cc
+++ b/src/services/model_placer_models.cc
@@ -8,43 +8,44 @@
 #include "services/model_placer.h"
 #include "services/model_placer_rules.h"
 
-/// The part of ModelPlacer that decides which replica loads a model that calls wait for or that is crowded,
-/// and what gives way for it.
+/// The part of ModelPlacer that decides which replica loads a missing or overloaded model, and which model is
+/// evicted to make room.
 namespace ferryrock::services {
 namespace {
 
-/// A model that was wanted so recently isn't displaced.
+/// A model whose last demand is more recent than this is not evicted.
 constexpr Duration kKeptAfterUse = std::chrono::seconds(2);
-/// Requests running or waiting on one copy of a model, as a share of a batch, before another is loaded.
+/// Running plus waiting requests per copy, as a share of the batch slots, above which another copy is loaded.
 constexpr double kBatchShare = 0.2;
-/// Calls a second on one copy of a model: reading one prompt holds up the streams beside it, so that copies
-/// are spread until prompts seldom meet.
+/// Calls per second and copy above which another copy is loaded. The prefill of one prompt delays the other
+/// streams of the copy, so copies are added until prefills rarely overlap.
 constexpr double kCallsPerCopy = 4.0;
-/// How long room that was asked for is kept for its model.
+/// Time for which freed memory stays reserved for the model that it was freed for.
 constexpr Duration kRoomLasts = std::chrono::seconds(5);
-/// An unload waits for the runs of its model for about so long.
+/// Estimated time for which an unload waits for running calls of its model.
 constexpr Duration kRunsTime = std::chrono::seconds(3);
-/// A replica that has to be asked first or that just got an order answers within this time.
+/// Estimated time within which a replica answers an inspection or an order.
 constexpr Duration kAnswerTime = std::chrono::milliseconds(50);
-/// Replicas that are compared for one load from the store.
+/// Maximum number of replicas compared for one load from the weight store.
 constexpr std::size_t kMostCompared = 256;
-/// Calls of so many seconds count for how urgent a load is; a call that a crowd makes late counts as a share
-/// of one that has to wait for its model.
+/// Horizon of urgency(): expected calls of this many seconds count. A call delayed by overload counts as
+/// kCrowdedShare of a call that waits for a missing model.
 constexpr double kUrgencySeconds = 5.0;
 constexpr double kCrowdedShare = 0.12;
-/// What a model gains whose callers were told when to come back, in calls that wait.
+/// Added urgency, in waiting calls, of a model whose callers got a time to retry after.
 constexpr double kPromisedUrgency = 1.5;
-/// What displacing a model costs, per recent call for it, against a second of loading.
+/// Cost of evicting a model, in seconds of load time per recent call for it.
 constexpr double kDisplacedShare = 0.5;
-/// A copy on a replica of half the speed is taken only if it serves this much sooner: callers use a copy for
-/// some ten seconds at least, and get half as much of it.
+/// Penalty in seconds for a copy on a replica of half the speed. Callers use a copy for at least ten seconds
+/// and get half the throughput from a slow one, so the slow replica must be ready 5 s earlier to be chosen.
 constexpr double kSlowCopySeconds = 5;
-/// Worth of a copy that its model's demand doesn't need, against any that it does.
+/// Subtracted from the value of a copy that exceeds its model's demand, so that it ranks below every copy
+/// that is needed.
 constexpr double kSpareCopyDiscount = 1000;
-/// Callers stay away for about this share of their time at most.
+/// Callers wait for at most about this share of their timeout before they retry.
 constexpr double kLongestAbsenceShare = 0.32;
 
-/// The longest that callers of the service stay away when they are told when to come back.
+/// Longest time that callers of the service wait before they retry, if they get a time to retry after.
 Duration longestAbsence(const wire::ServiceCatalog& catalog, const ServiceName& service) {
   std::int64_t longest_ms = 0;
   for (const wire::CallRoute& route : catalog.routes) {
@@ -59,7 +60,7 @@
 
 }  // namespace
 
-/// Which candidates have the weights of wanted models in their memory or on their disk.
+/// Indexes which candidates have the weights of requested models in memory or on disk.
 class ModelPlacer::NearWeights {
  public:
   NearWeights(const Candidates& candidates, const WantedModels& wanted) {
@@ -163,8 +164,8 @@
   return std::max(by_load, by_rate);
 }
 
-/// Calls of the next seconds that another copy serves better: a model that is missing keeps them waiting, one
-/// with too few copies makes them late.
+/// Expected calls within the horizon that another copy serves better: a missing model makes them wait, too
+/// few copies delay them.
 double ModelPlacer::urgency(const wire::HostedService& service, const ModelName& model,
                             const KeyDemand& demand) const {
   const std::size_t held = copies(model);
@@ -178,7 +179,7 @@
   return kCrowdedShare * std::max(calls_over, in_hand_over);
 }
 
-/// Room that was made for a model that isn't wanted any more is anybody's.
+/// Releases reservations that have expired or whose model is no longer requested.
 void ModelPlacer::dropReservations(Candidates& candidates, const WantedModels& wanted, TimePoint now) {
   for (Candidate& candidate : candidates) {
     Engine& engine = *candidate.engine;
@@ -203,7 +204,8 @@
       continue;
     }
     const std::size_t held = copies(key.model);
-    // Calls for a model whose last copies stand in an evacuated zone had better not wait for it first.
+    // If the last copies of a model are in an evacuated zone, it is loaded elsewhere before its calls have to
+    // wait.
     const bool awaited = demand.waiting > 0 || evacuated_models_.contains(key.model);
     const bool missing = held == 0 && awaited;
     const bool crowded = held > 0 && capacity(key.model) < wantedCapacity(service, key.model);
@@ -233,7 +235,8 @@
   const NearWeights near(candidates, wanted);
   const Duration longest_absence = longestAbsence(catalog, service.name);
   StoreLoads::Forecast forecast = store.forecast(now);
-  // Loads of weights that are near are short: they go before long ones, which would take their replicas.
+  // Loads from memory or disk are short, so they are placed first: long loads would occupy the replicas that
+  // hold those weights.
   std::vector<const WantedModel*> far;
   for (const WantedModel& item : wanted) {
     const auto placement = placeNear(service, *item.model, candidates, near, now);
@@ -250,7 +253,7 @@
     Placement placement = placeFromStore(service, *item->model, candidates, forecast, now);
     placement.near_replicas = static_cast<std::uint32_t>(near.of(item->model->name).size());
     if (placement.reason != UnplacedReason::None && placement.near_replicas > 0) {
-      placement.ready.reset();  // one of these may have room sooner, nobody knows when
+      placement.ready.reset();  // a replica with local weights may be free sooner, at an unknown time
     }
     notePlacement(service, *item, placement, longest_absence, now);
   }
@@ -278,7 +281,8 @@
   });
 }
 
-/// Where the weights are near, if that is sooner than from the store; nullopt: it isn't.
+/// Places the model on a replica with local weights; nullopt if a load from the weight store is faster or no
+/// such replica is available.
 std::optional<ModelPlacer::Placement> ModelPlacer::placeNear(const wire::HostedService& service,
                                                              const wire::HostedModel& model,
                                                              Candidates& candidates, const NearWeights& near,
@@ -298,7 +302,7 @@
   return sooner ? std::optional(take(service, model, *nearest, now)) : std::nullopt;
 }
 
-/// On a replica that can take the order now: nobody waits for one that can't.
+/// Uses only replicas that can accept the order now, and doesn't wait for busy ones.
 ModelPlacer::Placement ModelPlacer::placeFromStore(const wire::HostedService& service,
                                                    const wire::HostedModel& model, Candidates& candidates,
                                                    StoreLoads::Forecast& forecast, TimePoint now) {
@@ -308,8 +312,8 @@
     return {forecast.add(store_load, now), UnplacedReason::StoreFull};
   }
   std::optional<Option> best;
-  // Of many replicas some are compared, others with the next load: the best of so many is hardly worse than
-  // the best of all.
+  // Compares a limited window of candidates, which advances with each load. The best of 256 is hardly worse
+  // than the best of all.
   const std::size_t compared = std::min(candidates.size(), kMostCompared);
   for (std::size_t i = 0; i < compared; ++i) {
     Candidate& candidate = candidates[(first_compared_ + i) % candidates.size()];
@@ -326,7 +330,7 @@
   return take(service, model, *best, now);
 }
 
-/// A replica that makes room for the model already.
+/// Finds a replica that is already freeing memory for the model.
 std::optional<ModelPlacer::Placement> ModelPlacer::comingRoom(const wire::HostedService& service,
                                                               const wire::HostedModel& model,
                                                               const Candidates& candidates,
@@ -343,7 +347,7 @@
   return std::nullopt;
 }
 
-/// How the candidate could come to hold the model; nullopt: it can't.
+/// Evaluates the placement on this candidate; nullopt if it is impossible.
 std::optional<ModelPlacer::Option> ModelPlacer::optionOn(const wire::HostedService& service,
                                                          const wire::HostedModel& model, Candidate& candidate,
                                                          TimePoint now) {
@@ -374,7 +378,7 @@
   return option;
 }
 
-/// When the replica could take an order for a whole model.
+/// Earliest time at which the replica can accept an order for a model.
 TimePoint ModelPlacer::freeAt(const wire::HostedService& service, const Candidate& candidate,
                               TimePoint now) const {
   const Engine& engine = *candidate.engine;
@@ -387,14 +391,14 @@
     free_at = std::max(free_at, now + (waitsForRuns(service, engine) ? kRunsTime : kRoomTime));
   }
   if (engine.loading) {
-    // One that is late already may go on being late for as long again.
+    // An overdue load may take as long again as it is overdue.
     const TimePoint end = engine.loading_since + engine.loading_time;
     free_at = std::max(free_at, end > now ? end : now + (now - end) + kAnswerTime);
   }
   return free_at;
 }
 
-/// What gives way first on the candidate; nullopt: everything must stay.
+/// The model to evict first on the candidate; nullopt if none may be evicted.
 std::optional<ModelPlacer::Victim> ModelPlacer::leastWorth(const wire::HostedService& service,
                                                            const Candidate& candidate, TimePoint now) const {
   std::optional<Victim> least;
@@ -428,12 +432,13 @@
   }
   const double worth = demand.lasting_arrivals / static_cast<double>(std::max<std::size_t>(held, 1));
   if (spare_copy && demand.running > 0) {
-    return 0.0;  // it costs the wait for its runs, see optionOn()
+    return 0.0;  // its cost is the wait for running calls, see optionOn()
   }
   return spare_copy ? worth - kSpareCopyDiscount : worth;
 }
 
-/// Orders what the option needs next, if its replica can take it now; else others reckon with the claim.
+/// Sends the next order for the option if the replica can accept it now. Otherwise only claims the replica,
+/// so that later placements take the claim into account.
 ModelPlacer::Placement ModelPlacer::take(const wire::HostedService& service, const wire::HostedModel& model,
                                          const Option& option, TimePoint now) {
   Candidate& candidate = *option.candidate;
@@ -473,7 +478,7 @@
   }
 }
 
-/// An unload waits for the runs of its model, nobody knows how long.
+/// True while an unload in progress waits for running calls of its model, for an unknown time.
 bool ModelPlacer::waitsForRuns(const wire::HostedService& service, const Engine& engine) const {
   return engine.unloading && demand_.find({service.name, *engine.unloading, {}}).running > 0;
 }
--- a/src/services/model_placer_orders.cc
+++ b/src/services/model_placer_orders.cc
@@ -4,26 +4,28 @@
 #include "services/model_placer.h"
 #include "wire/replica_life.h"
 
-/// The part of ModelPlacer that follows orders: one at a time to a replica, what came back, what an
-/// inspection showed.
+/// The part of ModelPlacer that sends orders, at most one at a time to each replica, and processes their
+/// outcomes and the results of inspections.
 namespace ferryrock::services {
 namespace {
 
-/// What a replica reports may be this old.
+/// Maximum age of the contents of a replica report.
 constexpr Duration kReportLag = std::chrono::milliseconds(300);
 constexpr Duration kRetryAfterConflict = std::chrono::milliseconds(400);
-/// A replica that doesn't answer is asked again after longer and longer pauses.
+/// Retries to a replica that doesn't answer are delayed by an exponential backoff up to this value.
 constexpr Duration kLongestSilencePause = std::chrono::seconds(5);
 constexpr int kMostDoublings = 4;
-/// An unload that no report shows is asked after, and so is, again, a replica that was at its order.
+/// An unload that no report confirms is verified by an inspection after kDoubtedUnload. A replica that was
+/// still busy is inspected again after kDoubtedAgain.
 constexpr Duration kDoubtedUnload = std::chrono::seconds(4);
 constexpr Duration kDoubtedAgain = std::chrono::seconds(2);
-/// A model that got no order is told of once in this time, and so many of them at most.
+/// Each unplaced model is reported at most once per kNoteInterval, and at most kMostNotes models are reported
+/// within that time.
 constexpr Duration kNoteInterval = std::chrono::seconds(2);
 constexpr std::size_t kMostNotes = 16;
-/// From an unanswered order until its replica is asked, if that isn't done at once.
+/// Delay from an unanswered order to the inspection of its replica if prompt verification is disabled.
 constexpr Duration kPatientDoubt = std::chrono::seconds(12);
-/// What an inspection showed is believed for this long.
+/// Time for which the result of an inspection is valid.
 constexpr Duration kInspectionLasts = std::chrono::seconds(15);
 
 }  // namespace
@@ -133,7 +135,8 @@
       }
       break;
     case OrderOutcome::Unanswered:
-      // It may be under way or come late: what it takes stays reckoned with until the replica tells.
+      // The replica may be executing the order or receive it late, so its memory stays accounted for until
+      // the replica's state is known.
       engine.orders_taken.reset();
       engine.doubted_from = settings_.switches.prompt_doubts ? now : now + kPatientDoubt;
       break;
@@ -148,7 +151,7 @@
   Engine& engine = found->second;
   engine.pending.reset();
   if (!state) {
-    // Others get its work meanwhile.
+    // The backoff lets other replicas get the work meanwhile.
     engine.not_before = now + std::min(kLongestSilencePause, kRetryAfterConflict * (1 << engine.unanswered));
     engine.unanswered = std::min(engine.unanswered + 1, kMostDoublings);
     return;
@@ -156,7 +159,7 @@
   engine.unanswered = 0;
   const std::uint64_t born = wire::replicaBorn(found->first);
   if (born != 0 && state->born != 0 && state->born != born) {
-    // Another life of the replica answered: what it counts and holds isn't this one's.
+    // The answer comes from another incarnation, whose order count and contents don't apply to this one.
     engine.not_before = now + kRetryAfterConflict;
     return;
   }
@@ -168,8 +171,9 @@
   settleDoubt(found->first, engine, *state, now);
 }
 
-/// A replica that is at no order hasn't taken the one in doubt, or has failed at it. Should that order be
-/// carried out late, then before any newer one: the count of orders lets just one of them through.
+/// Resolves an order whose outcome is unverified. A replica that isn't busy either has not received the order
+/// or has failed to execute it. If the order arrives late, it is executed before any newer one or not at all,
+/// because only one order with a given order count is accepted.
 void ModelPlacer::settleDoubt(const ReplicaId& replica, Engine& engine, const ReplicaState& state,
                               TimePoint now) {
   if (state.busy) {
@@ -190,8 +194,8 @@
   }
 }
 
-/// The count of orders and what the replica holds belong together: an order that names the count is refused
-/// if the replica has taken another one since.
+/// Stores the order count together with the contents: an order with this count is rejected if the replica has
+/// accepted another order since.
 void ModelPlacer::takeState(Engine& engine, const ReplicaState& state) {
   if (!state.busy) {
     engine.orders_taken = state.orders_taken;
--- a/src/services/model_placer_rules.h
+++ b/src/services/model_placer_rules.h
@@ -5,14 +5,14 @@
 
 #include "services/replica_registry.h"
 
-/// Small questions that the parts of ModelPlacer ask of reports and catalogs.
+/// Helpers for reports and catalogs, shared by the source files of ModelPlacer.
 namespace ferryrock::services {
 
-/// From the order to unload something until the load that it makes room for begins, as a rule.
+/// Typical time from ordering an unload until the load that needs the memory begins.
 constexpr Duration kRoomTime = std::chrono::milliseconds(200);
 
-/// A load that takes this many times what was expected, and a little more, is late: its replica is asked, and
-/// calls don't count on it.
+/// A load is late once it has taken kLateFactor times its expected duration plus kLateSlack. The placer then
+/// inspects the replica, and the load no longer counts as a coming copy.
 constexpr int kLateFactor = 2;
 constexpr Duration kLateSlack = std::chrono::seconds(1);
 
--- a/src/services/nearest_weights.cc
+++ b/src/services/nearest_weights.cc
@@ -7,7 +7,7 @@
 namespace ferryrock::services {
 namespace {
 
-/// Between two passes over the replicas.
+/// Minimum time between two scans of the replicas.
 constexpr Duration kRefreshInterval = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/services/nearest_weights.h
+++ b/src/services/nearest_weights.h
@@ -11,24 +11,24 @@
 
 namespace ferryrock::services {
 
-/// Where a replica can load a model's weights from, the fastest first.
+/// Sources from which a replica can load a model's weights, fastest first.
 enum class WeightTier { Memory, Disk, Store };
 
 WeightTier tierOf(const wire::ReplicaReport& report, const ModelName& model);
 Duration loadTime(const wire::HostedModel& model, WeightTier tier);
 
-/// The shortest time in which some replica that takes calls can load a model.
+/// Computes the shortest time in which any replica that takes calls can load a model.
 ///
-/// One pass over all reports answers what is asked within a second, however many routers ask for however many
-/// models: a leader that passed over the replicas for each answer would be busy for longer than an election
-/// takes. Used by one thread.
+/// The tiers of all models are cached from one scan of all reports per second, independent of the number of
+/// routers and models queried. Scanning the replicas for each query would keep a leader busy for longer than
+/// an election timeout. Not thread-safe.
 class NearestWeights {
  public:
   explicit NearestWeights(const ReplicaRegistry& registry) : registry_(registry) {}
 
-  /// By reports that are a second old at most.
+  /// Based on reports as of at most one second ago.
   Duration shortestLoad(const ServiceName& service, const wire::HostedModel& model, TimePoint now);
-  /// Replicas that were looked at so far.
+  /// Number of replicas scanned so far.
   std::uint64_t replicasPassed() const { return replicas_passed_; }
 
  private:
@@ -36,7 +36,7 @@
   void note(const wire::ReplicaReport& report, const ModelName& model, WeightTier tier);
 
   const ReplicaRegistry& registry_;
-  /// Models that no replica has near have no entry.
+  /// Best tier by model. Models without weights in memory or on disk anywhere have no entry.
   std::map<std::pair<ServiceName, ModelName>, WeightTier> nearest_;
   TimePoint refreshed_{};
   std::uint64_t replicas_passed_ = 0;
--- a/src/services/placement_switches.h
+++ b/src/services/placement_switches.h
@@ -2,17 +2,19 @@
 
 namespace ferryrock::services {
 
-/// Mechanisms of the placement of models that can be switched off alone, to measure what each is worth. All
-/// are on unless a measurement says otherwise.
+/// Placement mechanisms that can be disabled one by one, to measure the effect of each. All are enabled by
+/// default.
 struct PlacementSwitches {
-  /// Loads from the weight store are bounded by its learned width; off: by the operator's rate alone.
+  /// Limits concurrent loads from the weight store by its estimated width; if disabled, only the operator's
+  /// rate limits them.
   bool learned_store_width = true;
-  /// Models whose weights are near a replica are placed before those that come from the store; off: in the
-  /// order of their urgency alone.
+  /// Places models whose weights are in a replica's memory or on its disk before models that load from the
+  /// weight store; if disabled, models are placed by urgency alone.
   bool near_weights_first = true;
-  /// Callers are told when a model that waits for the store should serve; off: only of loads under way.
+  /// Reports to callers when a model that waits for the weight store is expected to serve; if disabled, only
+  /// for loads in progress.
   bool expected_times = true;
-  /// A replica whose answer to an order was lost is asked at once; off: after some seconds.
+  /// Inspects a replica immediately after an order to it got no answer; if disabled, after some seconds.
   bool prompt_doubts = true;
 };
 
--- a/src/services/replica_choice.cc
+++ b/src/services/replica_choice.cc
@@ -12,14 +12,14 @@
 
 using Ranked = std::pair<std::uint64_t, const IndexedReplica*>;
 
-/// Finalizer of a 64-bit hash: each bit of the input changes half of the bits of the result.
+/// Finalizer of a 64-bit hash: each bit of the input flips half of the bits of the result on average.
 std::uint64_t mixed(std::uint64_t value) {
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
   return value ^ (value >> 31);
 }
 
-/// Leaves the first `count` by rank.
+/// Keeps the `count` elements of lowest rank.
 void keepFirst(std::vector<Ranked>& ranked, std::size_t count) {
   if (ranked.size() > count) {
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-/// Collects what one router is told.
+/// Builds the subset for one router.
 class ReplicaChoice::Draw {
  public:
   Draw(const ReplicaIndex& index, const wire::CallRouterStatus& status)
--- a/src/services/replica_choice.h
+++ b/src/services/replica_choice.h
@@ -7,26 +7,27 @@
 
 namespace ferryrock::services {
 
-/// Which replicas a router is told of, where telling every router every replica would cost routers x
-/// replicas: for each model and adapter that its calls use a few copies, of each service without models a few
-/// replicas. Most are of the router's own zone, some of others, so that the loss of a zone leaves it some.
-/// Each router draws its own: together they use all replicas evenly, and the same one again draws the same,
-/// so that connections are kept.
+/// Selects the subset of replicas that a router receives. Sending every replica to every router would cost
+/// routers x replicas. For each model and adapter that the router's calls use, the subset has a few copies,
+/// and for each service without models a few replicas. Most are in the router's own zone and some in others,
+/// so that the router still has replicas after the loss of its zone. The selection ranks replicas by a hash
+/// of the replica and the router: all routers together use the replicas evenly, and the same router gets the
+/// same subset each time and keeps its connections.
 ///
-/// Answers a fleet in which a router sees a small part of all calls: what it is told grows with its own calls
-/// and not with the fleet.
+/// Intended for fleets in which a router sees a small part of all calls: the size of the subset depends on
+/// the router's own calls and not on the size of the fleet.
 class ReplicaChoice {
  public:
   explicit ReplicaChoice(const ReplicaIndex& index) : index_(index) {}
 
-  /// In the order of their ids. Names that nobody knows list nothing; of very many names the first count.
+  /// Sorted by id. Unknown names select nothing; names beyond kMostInterests are ignored.
   std::vector<const IndexedReplica*> choose(const wire::CallRouterStatus& status,
                                             const std::vector<ServiceName>& plain_services) const;
 
-  /// Of one group.
+  /// Limits for one group, that is the replicas of one service, model or adapter.
   static constexpr std::size_t kMostOfOwnZone = 6;
   static constexpr std::size_t kMostOfGroup = 8;
-  /// Models and adapters of one router that are looked up.
+  /// Maximum number of models and adapters looked up for one router.
   static constexpr std::size_t kMostInterests = 128;
 
  private:
--- a/src/services/replica_index.cc
+++ b/src/services/replica_index.cc
@@ -53,7 +53,7 @@
   return keys;
 }
 
-/// Returns the groups, in their order.
+/// Removes the replica from its groups and returns them, sorted.
 std::vector<ModelKey> ReplicaIndex::leaveGroups(IndexedReplica& replica) {
   for (const ModelKey& key : replica.keys) {
     const auto found = groups_.find(key);
--- a/src/services/replica_index.h
+++ b/src/services/replica_index.h
@@ -14,33 +14,33 @@
 
 namespace ferryrock::services {
 
-/// A replica as routers are told of it.
+/// A replica in the form that routers receive.
 struct IndexedReplica {
   wire::RoutedReplica routed;
-  std::uint64_t name_hash = 0;     ///< of its id
-  std::uint64_t content_hash = 0;  ///< of all that routers are told
-  std::vector<ModelKey> keys;      ///< the groups that it is in, in order
+  std::uint64_t name_hash = 0;     ///< hash of its id
+  std::uint64_t content_hash = 0;  ///< hash of everything that routers receive about the replica
+  std::vector<ModelKey> keys;      ///< the groups that contain the replica, sorted
 };
 
-/// Replicas by what calls need: by service, by model and by adapter. Follows the registry by what changed
-/// there, so that a question for a model costs by its copies and not by the fleet. Used by one thread.
+/// Index of replicas by service, by model and by adapter. It is updated incrementally from the registry, so
+/// that a lookup costs in proportion to the copies of a model and not to the fleet. Not thread-safe.
 class ReplicaIndex {
  public:
   using Group = std::vector<const IndexedReplica*>;
 
-  /// What a step changed.
+  /// Result of one update.
   struct Changes {
-    std::set<ModelKey> grown;       ///< groups that got a replica that wasn't in them
-    std::vector<ReplicaId> closed;  ///< replicas that take no calls any more, or are gone
+    std::set<ModelKey> grown;       ///< groups with at least one added replica
+    std::vector<ReplicaId> closed;  ///< replicas that no longer take calls or were removed
   };
 
-  /// Takes what changed in the registry since the last step.
+  /// Applies the changes of the registry since the last call.
   Changes follow(ReplicaRegistry& registry);
 
-  /// Replicas that take calls: of a service with an empty model, of a model with an empty adapter, of an
-  /// adapter. Empty if there is none.
+  /// Replicas that take calls: of a service if the model is empty, of a model if the adapter is empty,
+  /// otherwise of an adapter. Empty if there are none.
   const Group& find(const ModelKey& key) const;
-  /// Also one that takes no calls; nullptr: it isn't known.
+  /// Also finds replicas that take no calls; nullptr if the id is unknown.
   const IndexedReplica* find(const ReplicaId& id) const;
   std::size_t size() const { return replicas_.size(); }
 
--- a/src/services/replica_orders.h
+++ b/src/services/replica_orders.h
@@ -11,72 +11,72 @@
 #include "common/time.h"
 #include "wire/service_types.h"
 
-/// Orders to the replicas of hosted services and what comes back.
+/// Orders to the replicas of hosted services, and their outcomes.
 namespace ferryrock::services {
 
 using OrderNumber = Number<struct OrderNumberTag>;
 
 enum class OrderAction : std::uint8_t { Load, Unload };
 
-/// Effect: order a replica to load or unload a model, or an adapter of one that it holds.
+/// Effect: order a replica to load or unload a model, or an adapter of a model that it holds.
 struct OrderReplicaEffect {
   OrderNumber number;
   ReplicaId replica;
   std::string address;
   OrderAction action = OrderAction::Load;
   ModelName model;
-  std::string adapter;         ///< empty: the model
-  std::uint64_t expected = 0;  ///< orders that the replica has taken so far; it refuses another count
+  std::string adapter;         ///< empty: the order is for the model itself
+  std::uint64_t expected = 0;  ///< orders that the replica has accepted so far; it rejects any other count
   NodeName holder;
   Term fence;
 };
 
-/// Effect: ask a replica how many orders it has taken and what it holds.
+/// Effect: request the count of accepted orders and the contents of a replica.
 struct InspectReplicaEffect {
   OrderNumber number;
   ReplicaId replica;
   std::string address;
 };
 
-/// Why a model that is wanted got no order.
+/// Reason why a requested model got no order.
 enum class UnplacedReason : std::uint8_t {
   None,
-  StoreFull,       ///< as many loads from the store are under way as it takes
-  ReplicaBusy,     ///< a replica with its weights will take it soonest, and is at another order
-  NoReplicaReady,  ///< no replica can take the order now and make room
-  RoomComing,      ///< a replica makes room for it
+  StoreFull,       ///< the weight store can't take another load now
+  ReplicaBusy,     ///< the best replica with local weights is executing another order
+  NoReplicaReady,  ///< no replica can accept the order now and free enough memory
+  RoomComing,      ///< a replica is unloading another model to make room
 };
 
-/// As logs name it.
+/// The text used in logs.
 std::string_view nameOf(UnplacedReason reason);
 
-/// Effect: tell the operator.
+/// Effect: log for the operator that a model got no order.
 struct ModelUnplacedEffect {
   ServiceName service;
   ModelName model;
   UnplacedReason reason = UnplacedReason::None;
-  std::uint32_t waiting = 0;  ///< calls
+  std::uint32_t waiting = 0;  ///< calls that wait for the model
   double urgency = 0;
-  std::uint32_t near_replicas = 0;  ///< with its weights in memory or on disk
-  std::uint32_t store_loads = 0;    ///< under way
+  std::uint32_t near_replicas = 0;  ///< replicas with its weights in memory or on disk
+  std::uint32_t store_loads = 0;    ///< loads from the weight store in progress
   double store_width = 0;
 };
 
 enum class OrderOutcome : std::uint8_t {
-  Taken,        ///< it is under way
-  AlreadyHeld,  ///< nothing to do, or done at once
-  Conflict,     ///< another order is under way, or the count didn't match
-  Refused,      ///< a fence too low, a wrong replica, an order that isn't understood
-  Unanswered,   ///< it may have been taken, and may be carried out late
+  Taken,        ///< the replica is executing the order
+  AlreadyHeld,  ///< the replica had nothing to do or is done already
+  Conflict,     ///< the replica is executing another order, or the order count didn't match
+  Refused,      ///< the fencing token is outdated, the replica is the wrong one, or the order is invalid
+  Unanswered,   ///< no response; the replica may have accepted the order, and may execute it late
 };
 
-/// What a replica said when it was inspected; some hundred ms old.
+/// State of a replica as returned by an inspection; a few hundred milliseconds old.
 struct ReplicaState {
   std::uint64_t orders_taken = 0;
   bool busy = false;
   std::vector<wire::HeldModel> held;
-  std::vector<wire::HeldModel> coming;  ///< adapters on their way to it
-  std::uint64_t born = 0;               ///< Unix milliseconds of its start; 0: not told
+  std::vector<wire::HeldModel> coming;  ///< adapters being loaded
+  std::uint64_t born = 0;               ///< start time of the replica in Unix milliseconds; 0: not reported
 };
 
 }  // namespace ferryrock::services
--- a/src/services/store_loads.cc
+++ b/src/services/store_loads.cc
@@ -8,15 +8,17 @@
 namespace ferryrock::services {
 namespace {
 
-/// Loads under way before anything was learned, however long they take.
+/// Initial limit of concurrent loads, before any load was timed, whatever their duration.
 constexpr double kFirstWidth = 4;
-/// The store's rate is kept over windows of this length, with a margin for loads that begin late.
+/// The operator's rate is enforced over windows of this length, reduced to kRateShare for loads that begin
+/// late.
 constexpr Duration kWindow = std::chrono::seconds(5);
 constexpr double kRateShare = 0.9;
-/// From the order to a load's begin, and from its end until its replica's report is here, at most as a rule.
-/// Loads of less than a second would seem slow without it.
+/// Typical maximum of two delays together: from the order to the begin of the load, and from its end to the
+/// arrival of the replica's report. Without this allowance, loads of less than a second would appear slow.
 constexpr Duration kReportDelay = std::chrono::milliseconds(400);
-/// Between two looks at loads that should have ended, and what is late.
+/// Interval between two checks for overdue loads, and the multiple of the nominal duration from which a load
+/// counts as overdue.
 constexpr Duration kLookInterval = std::chrono::milliseconds(500);
 constexpr double kLateFactor = 1.35;
 
@@ -63,7 +65,8 @@
   }
 }
 
-/// One late load may be its replica's fault; when half of them are late, the store is slow.
+/// A single overdue load may be the fault of its replica. If at least two, and at least half of all, are
+/// overdue, the store is treated as slow.
 void StoreLoads::observeOverdue(TimePoint now) {
   if (now < next_look_) {
     return;
--- a/src/services/store_loads.h
+++ b/src/services/store_loads.h
@@ -12,40 +12,41 @@
 
 namespace ferryrock::services {
 
-/// The loads of one service from the weight store: how many may be under way (learned from how long they
-/// take), how many may begin (stated by the operator), and when one that has to wait would end. Used by one
-/// thread.
+/// Tracks the loads of one service from the weight store: how many may run concurrently (learned from their
+/// durations), how many may begin per second (set by the operator), and when a queued load is expected to
+/// end. Not thread-safe.
 class StoreLoads {
  public:
-  /// bounded_by_width: false leaves the operator's rate as the only bound.
+  /// bounded_by_width: if false, only the operator's rate limits loads.
   explicit StoreLoads(bool bounded_by_width = true);
 
-  /// A load that takes so long at full speed is wanted.
+  /// Announces demand for a load of this duration at full speed.
   void expectLoad(Duration nominal) { estimator_.expectLoad(nominal); }
-  /// loads_per_second: as the operator states it; 0: not limited.
+  /// loads_per_second: the operator's limit; 0: unlimited.
   bool mayBegin(double loads_per_second, TimePoint now);
   void onBegun(const ReplicaId& replica, Duration nominal, TimePoint now);
-  /// The replica holds the model now.
+  /// The load is complete: the replica holds the model.
   void onEnded(const ReplicaId& replica, TimePoint now);
-  /// The load wasn't taken, or nobody knows what became of it.
+  /// The replica rejected the load, or its outcome is unknown. Its duration isn't used for learning.
   void onDropped(const ReplicaId& replica, TimePoint now);
-  /// Learns from loads that should have ended. Call now and then.
+  /// Lowers the width if loads in progress are overdue. To be called periodically; evaluates at most every
+  /// 500 ms.
   void observeOverdue(TimePoint now);
-  /// Drops loads of other replicas.
+  /// Drops the loads of replicas for which `kept` returns false.
   void keepIf(const std::function<bool(const ReplicaId&)>& kept, TimePoint now);
 
   std::uint32_t underWay() const { return static_cast<std::uint32_t>(loads_.size()); }
   double width() const { return estimator_.width(); }
 
-  /// When loads that wait would end, each beginning as soon as the ones before it leave room.
+  /// Predicts when queued loads end, if each begins as soon as those ahead of it leave capacity.
   class Forecast {
    public:
     Forecast(std::multiset<TimePoint> ends, std::size_t width) : ends_(std::move(ends)), width_(width) {}
-    /// The next one that waits.
+    /// Adds the next queued load and returns its expected end.
     TimePoint add(Duration nominal, TimePoint now);
 
    private:
-    std::multiset<TimePoint> ends_;  ///< of what is under way or ahead
+    std::multiset<TimePoint> ends_;  ///< expected ends of the loads in progress or ahead in the queue
     std::size_t width_;
   };
   Forecast forecast(TimePoint now) const;
@@ -64,8 +65,8 @@
   bool bounded_by_width_;
   placement::StoreEstimator estimator_;
   std::map<ReplicaId, Load> loads_;
-  std::deque<TimePoint> begun_;  ///< of the last window, oldest first
-  double load_seconds_ = 0;      ///< integral of the number of loads under way
+  std::deque<TimePoint> begun_;  ///< begin times within the last window, oldest first
+  double load_seconds_ = 0;      ///< time integral of the number of loads in progress
   TimePoint advanced_{};
   TimePoint next_look_{};
 };
