--- a/tests/services/crash_containment_test.cc
+++ b/tests/services/crash_containment_test.cc
@@ -1,12 +1,10 @@
-/// Users saw one call end 28 replicas of a pool of 12 within 15 s, while more than a tenth of four other
-/// kinds of calls wasn't served. The order of events: a call ends the replica that begins to run it, some
-/// 40 ms after it came; its caller gets a failure and sends the same call again, to any router; that router
-/// knows nothing of it and sends it to the next sound replica; replicas come back after 3 s and end again.
-/// The cause: a router kept nothing of a call that had ended and told nobody, so that the limits on retries
-/// of one call (attempts, retry budget) began anew with each coming.
-/// The evidence: in the routers' logs no call had more than two sendings, though a single one was behind 28
-/// ends; calls that came one after the other had the same path, caller and body, which other calls never
-/// share unless their caller comes again.
+/// Guards against a call that crashes every replica that runs it, and spreads because its caller resends it
+/// to any router. One such call crashed 28 replicas of a pool of 12 within 15 s, and more than a tenth of the
+/// calls of four other kinds failed. A replica crashes about 40 ms after the call arrives and restarts after
+/// 3 s. The limits on attempts and retries of a single call don't help, because they start anew with each
+/// resend, if routers neither remember nor report calls that end in a crash. Each submission made at most two
+/// attempts, although one call caused all 28 crashes. Resends of a call share path, caller and body, which
+/// the calls of other callers never do; so a fingerprint of these identifies the call.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <vector>
@@ -19,10 +17,10 @@
 using namespace std::chrono_literals;
 
 constexpr wire::CallFingerprint kCrashing{1, 2};
-/// Within this time all routers have to know.
+/// Time within which all routers must know about the quarantine.
 constexpr Duration kKnownEverywhere = 3s;
 
-TEST_CASE("A call under which three replicas have ended, and that comes again at any router, ends few more") {
+TEST_CASE("A call that has crashed three replicas crashes at most one more, whichever router gets it") {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     CAPTURE(seed);
     CrashingFleetSettings settings;
@@ -39,7 +37,7 @@
   }
 }
 
-/// A fault that begins while a call ends one replica after the other.
+/// A fault injected while a call crashes one replica after the other.
 struct ContainmentFault {
   const char* name;
   std::function<void(CrashingFleet&)> begin;
@@ -49,17 +47,17 @@
   static const std::vector<ContainmentFault> kFaults = {
       {"the leader is killed", [](CrashingFleet& it) { it.cluster.kill(*it.cluster.leader()); }},
       {"the leader is frozen", [](CrashingFleet& it) { it.cluster.freeze(*it.cluster.leader(), 4s); }},
-      {"a router's connection to the leader falls silent",
+      {"a router's connection to the leader stops delivering messages",
        [](CrashingFleet& it) { it.cluster.silence(it.routers[0]->node, it.cluster.leader()->node); }},
-      {"a router starts again", [](CrashingFleet& it) { it.cluster.restart(*it.routers[0]); }},
-      {"a router wakes after 2 s", [](CrashingFleet& it) { it.cluster.freeze(*it.routers[0], 2s); }},
+      {"a router restarts", [](CrashingFleet& it) { it.cluster.restart(*it.routers[0]); }},
+      {"a router is frozen for 2 s", [](CrashingFleet& it) { it.cluster.freeze(*it.routers[0], 2s); }},
       {"the leader loses its disk",
        [](CrashingFleet& it) {
          ServiceMember& leader = *it.cluster.leader();
          it.cluster.wipe(leader);
          it.cluster.schedule(1s, [&it, &leader] { it.cluster.start(leader); });
        }},
-      {"every member is killed and starts again", [](CrashingFleet& it) {
+      {"all members lose power and restart", [](CrashingFleet& it) {
          for (std::size_t i = 0; i < 3; ++i) {
            ServiceMember& member = it.cluster.member(i);
            it.cluster.powerOff(member);
@@ -69,10 +67,10 @@
   return kFaults;
 }
 
-TEST_CASE("A call that ends replicas is contained while members and routers fail") {
+TEST_CASE("A crashing call is contained while members and routers fail") {
   for (const ContainmentFault& fault : faults()) {
     for (const Duration before : {0ms, 100ms, 400ms, 900ms, 4000ms}) {
-      INFO(fault.name << ", " << toMilliseconds(before) << " ms after the call came first");
+      INFO(fault.name << ", " << toMilliseconds(before) << " ms after the first arrival of the call");
       CrashingFleetSettings settings;
       settings.seed = 11 + static_cast<std::uint64_t>(toMilliseconds(before));
       CrashingFleet fleet(settings);
@@ -86,7 +84,7 @@
   }
 }
 
-TEST_CASE("A router that starts long after the third end knows of it before it serves") {
+TEST_CASE("A router that starts after the third crash learns of the quarantine before it serves calls") {
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 5s);
   fleet.cluster.runFor(10s);
@@ -101,7 +99,7 @@
   CHECK(fleet.sendingsOf(kCrashing).ends.size() == ends);
 }
 
-TEST_CASE("A quarantine outlives a loss of power of all members and routers together") {
+TEST_CASE("A quarantine survives a power loss of all members and a restart of all routers") {
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 2s);
   fleet.cluster.runFor(8s);
@@ -122,7 +120,7 @@
   CHECK(fleet.sendingsOf(kCrashing).ends.size() == ends);
 }
 
-TEST_CASE("A call that an operator releases at any member runs again, everywhere and after a loss of power") {
+TEST_CASE("A call that an operator releases at any member runs again, also after a power loss") {
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 2s);
   fleet.cluster.runFor(8s);
@@ -146,14 +144,14 @@
   CHECK(fleet.sendingsOf(kCrashing).ends.size() > ends);
 }
 
-/// What callers get on one load, summed over seeds.
+/// Results of one load, summed over seeds; `served` is averaged.
 struct Outcome {
   double served = 0;
-  std::size_t refused = 0;  ///< harmless calls that were quarantined
+  std::size_t refused = 0;  ///< quarantined calls that crash nothing
   std::size_t ends = 0;
 };
 
-/// Calls that end replicas, each begun some time after the one before.
+/// Calls that crash replicas, each begun this long after the previous one.
 struct CrashingLoad {
   const char* name;
   std::size_t replicas;
@@ -185,10 +183,11 @@
 
 constexpr CrashingLoad kOneByOne{"12 replicas, 3 calls, 5 s apart", 12, 3, 5s};
 constexpr CrashingLoad kTogether{"40 replicas, 4 calls, 0.3 s apart", 40, 4, 300ms};
-/// Twelve ends within three seconds, each replica down for as long: nothing is left to run on.
+/// Up to twelve crashes within three seconds, with each replica down for as long, leave no replica to run
+/// calls on.
 constexpr CrashingLoad kOverwhelming{"12 replicas, 4 calls, 0.7 s apart", 12, 4, 700ms};
 
-TEST_CASE("Calls beside several crashing ones are served, and hardly any is blamed") {
+TEST_CASE("Other calls are served beside several crashing ones, and hardly any is quarantined") {
   const std::vector<std::pair<CrashingLoad, Outcome>> kLeast = {
       {kOneByOne, {0.99, 0, 0}}, {kTogether, {0.99, 0, 0}}, {kOverwhelming, {0.9, 100, 0}}};
   for (const auto& [load, least] : kLeast) {
@@ -202,7 +201,7 @@
   }
 }
 
-TEST_CASE("A harmless call that many callers send survives replicas that end for reasons of their own") {
+TEST_CASE("A call sent by many callers isn't blamed for unrelated crashes of replicas") {
   CrashingFleet fleet({});
   constexpr wire::CallFingerprint kPopular{8, 8};
   fleet.beginSameCalls(kPopular, 10ms, 10s);
@@ -216,7 +215,7 @@
   }
 }
 
-TEST_CASE("Connections that break at replicas that live on count against no call") {
+TEST_CASE("Broken connections to replicas that stay alive count against no call") {
   CrashingFleet fleet({});
   fleet.beginBystanders(20ms, 5s, 4);
   for (std::size_t i = 0; i < 40; ++i) {
--- a/tests/services/crashing_fleet.h
+++ b/tests/services/crashing_fleet.h
@@ -9,61 +9,64 @@
 
 #include "services/service_cluster.h"
 
-/// Replicas that a call may end, routers and callers, under the cluster's virtual clock.
+/// Simulates replicas that a call may crash, with routers and callers, under the cluster's virtual clock.
 namespace ferryrock::services {
 
 struct CrashingFleetSettings {
   std::size_t routers = 9;
   std::size_t replicas = 12;
   std::uint32_t slots = 64;
-  Duration work = std::chrono::milliseconds(300);        ///< of a call that ends well
-  Duration until_crash = std::chrono::milliseconds(40);  ///< from the begin of a call that ends its replica
-  Duration down_for = std::chrono::seconds(3);           ///< until the replica is back, under a new id
-  std::uint32_t max_attempts = 2;                        ///< of the route
+  Duration work = std::chrono::milliseconds(300);  ///< duration of a call that doesn't crash its replica
+  Duration until_crash =
+      std::chrono::milliseconds(40);  ///< from the start of a crashing call until its replica crashes
+  Duration down_for = std::chrono::seconds(3);  ///< time until the replica restarts under a new id
+  std::uint32_t max_attempts = 2;               ///< setting of the route
   std::uint64_t seed = 1;
 };
 
-/// What became of the calls of one caller. A caller comes again, anywhere, after a refusal or a failure, as
-/// far as its tries last.
+/// Outcome of the calls of one caller. After a refusal or a failure, the caller resends its call to a random
+/// router while it has tries left.
 struct CallerRecord {
   std::size_t comings = 0;
   bool answered = false;
   bool given_up = false;
   std::vector<ResultCode> refusals;
-  std::vector<bool> not_run;                         ///< of each refusal
-  std::vector<std::optional<Duration>> retry_after;  ///< of each refusal
+  std::vector<bool> not_run;                         ///< one entry per refusal
+  std::vector<std::optional<Duration>> retry_after;  ///< one entry per refusal
 };
 
-/// What the replicas saw of one call, however often it came.
+/// Executions of one call on replicas, over all submissions of the call.
 struct SendingRecord {
   std::vector<TimePoint> sendings;
-  std::vector<TimePoint> ends;  ///< of the replicas that it ended
+  std::vector<TimePoint> ends;  ///< crashes of replicas that the call caused
 };
 
 class CrashingFleet {
  public:
   explicit CrashingFleet(const CrashingFleetSettings& settings);
 
-  /// A call that ends every replica that runs it comes at a router drawn by lot, again and again.
+  /// A crashing call arrives at a random router at this interval.
   void beginCrashingCalls(const wire::CallFingerprint& fingerprint, Duration interval, Duration for_time);
-  /// Callers with calls of their own, drawn routers, at this interval. Each comes up to `tries` times.
+  /// Starts, at this interval, callers that each send a call of their own to a random router, up to `tries`
+  /// times.
   void beginBystanders(Duration interval, Duration for_time, std::size_t tries = 2);
-  /// Callers that all send one and the same harmless call.
+  /// Starts callers that all send the same harmless call.
   void beginSameCalls(const wire::CallFingerprint& fingerprint, Duration interval, Duration for_time);
-  /// The replica that serves the most calls ends for a reason of its own.
+  /// Crashes the replica with the most running calls, for a reason unrelated to them.
   void crashBusiest();
-  /// Connections of calls under way break at this replica, which lives on.
+  /// Breaks the connections of running calls at this replica, which stays alive.
   void resetConnections(std::size_t replica);
 
-  /// Sendings of the call later than `after` past the third end of a replica under it.
+  /// Number of times that the call was sent to a replica later than `after` past the third crash that it
+  /// caused.
   std::size_t sendingsAfterThird(const wire::CallFingerprint& fingerprint, Duration after) const;
   const SendingRecord& sendingsOf(const wire::CallFingerprint& fingerprint) { return sendings_[fingerprint]; }
-  /// Share of the bystanders that were answered.
+  /// Share of the bystanders that got an answer.
   double servedShare() const;
   const std::vector<std::unique_ptr<CallerRecord>>& bystanders() const { return bystanders_; }
   const std::vector<std::unique_ptr<CallerRecord>>& crashing() const { return crashing_; }
   const std::vector<std::unique_ptr<CallerRecord>>& sameCallers() const { return same_; }
-  /// Refusals of bystanders with the code.
+  /// Number of bystanders that were refused with this code.
   std::size_t bystandersRefused(ResultCode code) const;
 
   ServiceCluster cluster;
--- a/tests/services/evacuation_test.cc
+++ b/tests/services/evacuation_test.cc
@@ -3,13 +3,14 @@
 
 #include "services/service_cluster.h"
 
-/// Zones that are taken out of use and given back, beside losses of leaders, members, disks and routers.
+/// Tests of the evacuation and restoration of zones, combined with the loss of leaders, members, disks and
+/// routers.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// How soon routers in touch have an evacuation in force, at the latest.
+/// Maximum time until connected routers apply an evacuation.
 constexpr Duration kInForce = 2500ms;
 
 struct ZonedFleet {
@@ -27,7 +28,7 @@
     report.zone = ZoneName(id.substr(0, 1));
     return report;
   }
-  /// Replicas report each second to whoever leads.
+  /// All replicas report to the leader each second.
   void beat() {
     ++sequence;
     if (ServiceMember* leader = cluster.leader()) {
@@ -48,7 +49,7 @@
   std::uint64_t sequence = 0;
 };
 
-TEST_CASE("An evacuation closes the zone's replicas at routers, later ones too, and a stop opens them") {
+TEST_CASE("An evacuation closes the zone's present and later replicas at routers, and its stop opens them") {
   ZonedFleet fleet;
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", true));
   fleet.cluster.runFor(kInForce);
@@ -65,7 +66,7 @@
   CHECK(fleet.open("a2"));
 }
 
-TEST_CASE("Evacuations that are repeated, overtaken or for two zones end as they were last asked for") {
+TEST_CASE("The last request per zone decides when evacuations are repeated, overtaken or overlapping") {
   struct Step {
     const char* zone;
     bool evacuated;
@@ -81,8 +82,8 @@
       {"stopped without a start", {{"a", false}}, true, true},
       {"stopped before the start is in force", {{"a", true}, {"a", false}}, true, true},
       {"stopped twice", {{"a", true}, {"a", false}, {"a", false}}, true, true},
-      {"two zones, which are all of the service", {{"a", true}, {"b", true}}, false, false},
-      {"two zones, one given back", {{"a", true}, {"b", true}, {"a", false}}, true, false},
+      {"two zones, which contain all replicas of the service", {{"a", true}, {"b", true}}, false, false},
+      {"two zones, one restored", {{"a", true}, {"b", true}, {"a", false}}, true, false},
   };
   for (const Case& one : cases) {
     INFO(one.name);
@@ -96,7 +97,7 @@
   }
 }
 
-TEST_CASE("A zone that nobody knows is refused, and only a leader changes zones") {
+TEST_CASE("An unknown zone is refused, and only the leader changes zones") {
   ZonedFleet fleet;
   ServiceMember& leader = *fleet.cluster.leader();
   const std::uint64_t unknown = fleet.cluster.evacuate(leader, "nowhere", true);
@@ -110,7 +111,7 @@
   CHECK(follower.answers[elsewhere].leader == leader.node.value);
 }
 
-TEST_CASE("An evacuation outlives its leader, and no router sees the zone open meanwhile") {
+TEST_CASE("An evacuation survives the leader's failure without the zone opening at any router") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
     ZonedFleet fleet(seed);
@@ -128,7 +129,7 @@
   }
 }
 
-TEST_CASE("An evacuation that was acknowledged when its leader fell is in force from the next one") {
+TEST_CASE("An evacuation acknowledged just before the leader fails takes effect under the next leader") {
   ZonedFleet fleet;
   ServiceMember& former = *fleet.cluster.leader();
   const std::uint64_t question = fleet.cluster.evacuate(former, "a", true);
@@ -140,7 +141,7 @@
   CHECK(fleet.open("b1"));
 }
 
-TEST_CASE("A router that was cut off closes the zone with the first update that reaches it") {
+TEST_CASE("A disconnected router closes the zone with the first update after it reconnects") {
   ZonedFleet fleet;
   fleet.cluster.isolate(fleet.router.status.router);
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", true));
@@ -151,8 +152,8 @@
   CHECK_FALSE(fleet.open("a1"));
 }
 
-TEST_CASE("An evacuation outlives snapshots, restarts and the loss of power of all members") {
-  constexpr std::uint64_t kCatalogs = 60;  // more than a member's log keeps
+TEST_CASE("An evacuation survives snapshots, restarts and a power loss of all members") {
+  constexpr std::uint64_t kCatalogs = 60;  // more entries than a member's log retains
   ZonedFleet fleet;
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", true));
   for (std::uint64_t version = 2; version <= kCatalogs; ++version) {
@@ -171,7 +172,7 @@
   CHECK_FALSE(fleet.open("a1"));
 }
 
-TEST_CASE("An acknowledged evacuation outlives an emptied disk while all other members lose power") {
+TEST_CASE("An acknowledged evacuation survives one wiped disk and a power loss of all members") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
     ZonedFleet fleet(seed);
@@ -189,9 +190,9 @@
   }
 }
 
-TEST_CASE("A zone that is evacuated gets no models, and one that is called gets a copy elsewhere in time") {
+TEST_CASE("An evacuated zone gets no models, and a model in use there gets a copy elsewhere") {
   ZonedFleet fleet;
-  fleet.cluster.runFor(5s);  // an earlier leader's orders may be out until then
+  fleet.cluster.runFor(5s);  // orders of an earlier leader may be in progress until then
   fleet.cluster.report(*fleet.cluster.leader(), [] {
     wire::ReplicaReport report = ZonedFleet::reportOf("a9", 1);
     report.held = {{ModelName("m2"), {}}};
--- a/tests/services/fleet_load_test.cc
+++ b/tests/services/fleet_load_test.cc
@@ -7,8 +7,8 @@
 #include "services/service_cluster.h"
 #include "wire/replica_life.h"
 
-/// Routers choose by the load and speed that they learn together, and go on by themselves when they hear of
-/// it no more.
+/// Tests that routers balance calls by the load and speed of replicas as aggregated over all routers, and by
+/// their own calls alone when no aggregate arrives.
 namespace ferryrock::services {
 namespace {
 
@@ -20,7 +20,7 @@
 constexpr Duration kSlowPause = 66ms;
 constexpr int kEvents = 20;
 
-/// One quick and two slow replicas of one model, six routers, and callers with streams at random routers.
+/// One quick and two slow replicas of one model, six routers, and streams that arrive at random routers.
 class UnevenFleet {
  public:
   explicit UnevenFleet(std::uint64_t seed) : cluster(3, 1, seed), random_(seed) {
@@ -49,12 +49,12 @@
     arrive();
   }
 
-  /// The replica starts again, now as quick as the quick one.
+  /// Restarts the replica, which then is as quick as the quick one.
   void startAgainQuick(const std::string& name) {
     starts_[name] += 1000;
     quick_again_ = name;
   }
-  /// Share of the streams that began at the quick replica in the next seconds.
+  /// Share of the streams started within the next `time` that went to the quick replica.
   double quickShare(Duration time) {
     const std::map<std::string, std::size_t> before = sent_;
     cluster.runFor(time);
@@ -137,18 +137,18 @@
 
 constexpr double kMostlyQuick = 0.6;
 
-TEST_CASE("Routers that see a few streams each learn together which replica is quick") {
+TEST_CASE("Routers that each see few streams learn together which replica is quick") {
   const auto seed = GENERATE(range<std::uint64_t>(1, 5));
   UnevenFleet fleet(seed);
   fleet.cluster.runFor(10s);
   CHECK(fleet.quickShare(10s) >= kMostlyQuick);
   CHECK(fleet.balanced() > 100);
   CHECK(fleet.refused == 0);
-  // The slow ones still get what the quick one would make wait.
+  // The slow replicas still get the calls that would have to wait at the quick one.
   CHECK(fleet.sentTo("slow-1") + fleet.sentTo("slow-2") > 10);
 }
 
-TEST_CASE("No call waits for loads: the leader is killed, all members lose power, a router is cut off") {
+TEST_CASE("Calls are served while a failure stops load updates, and balancing resumes afterwards") {
   struct Fault {
     const char* name;
     std::function<void(UnevenFleet&)> strike;
@@ -157,7 +157,7 @@
   const std::vector<Fault> faults = {
       {"leader killed", [](UnevenFleet& fleet) { fleet.cluster.kill(*fleet.cluster.leader()); },
        [](UnevenFleet&) {}},
-      {"all members without power",
+      {"all members lose power",
        [](UnevenFleet& fleet) {
          for (std::size_t i = 0; i < 3; ++i) {
            fleet.cluster.powerOff(fleet.cluster.member(i));
@@ -168,7 +168,7 @@
            fleet.cluster.start(fleet.cluster.member(i));
          }
        }},
-      {"router cut off for 30 s",
+      {"router isolated for 30 s",
        [](UnevenFleet& fleet) {
          fleet.cluster.isolate(fleet.routers[0]->node);
          fleet.cluster.runFor(25s);
@@ -192,7 +192,7 @@
   }
 }
 
-TEST_CASE("Without a leader's word for 2.5 s a router goes by its own calls") {
+TEST_CASE("A router without load updates for 2.5 s balances by its own calls alone") {
   UnevenFleet fleet(2);
   fleet.cluster.runFor(10s);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -205,8 +205,9 @@
   CHECK(fleet.refused == 0);
 }
 
-/// 200 routers and 100 replicas that all serve something: each telling would be 20,000 entries.
-TEST_CASE("A fleet too large to be told loads in time is told none") {
+/// With 200 routers and 100 replicas that all serve calls, each round of load updates would have 20,000
+/// entries.
+TEST_CASE("No load updates are sent to a fleet too large to receive them in time") {
   ServiceCluster cluster(3, 1, 1);
   cluster.tells_loads = true;
   for (std::size_t i = 0; i < 3; ++i) {
@@ -236,7 +237,7 @@
   CHECK(serve(20) > 200);
 }
 
-TEST_CASE("A slow replica that starts again isn't taken for slow") {
+TEST_CASE("A slow replica isn't treated as slow after it restarts") {
   UnevenFleet fleet(4);
   fleet.cluster.runFor(10s);
   fleet.startAgainQuick("slow-1");
--- a/tests/services/model_placer_store_test.cc
+++ b/tests/services/model_placer_store_test.cc
@@ -9,8 +9,8 @@
 #include "services/model_placer.h"
 #include "services/service_cluster.h"
 
-/// The placer against a weight store whose loads slow each other beyond its width, and against replicas that
-/// are slow to answer or don't answer.
+/// Tests of the placer against a weight store whose loads slow each other down beyond its width, and against
+/// replicas that answer slowly or not at all.
 namespace ferryrock::services {
 namespace {
 
@@ -55,7 +55,8 @@
   return catalog;
 }
 
-/// Replicas that load from one store: beyond width loads at a time, all share its speed.
+/// Replicas that load from one weight store: if more than `width` loads run at once, all share the speed of
+/// the store.
 class StoreWorld {
  public:
   StoreWorld(std::size_t replicas, int models, std::size_t width)
@@ -68,14 +69,14 @@
     }
   }
 
-  /// One call waits for each of these that no replica holds; callers leave after the time given.
+  /// One call waits for each of these models until a replica holds it.
   void wantAll(int first, int last) {
     for (int i = first; i <= last; ++i) {
       wanted_.insert(ModelName("m" + std::to_string(i)));
     }
   }
 
-  /// Many calls for a model that is held, or so many.
+  /// This number of calls runs on a model that a replica holds.
   void crowd(const std::string& model, std::uint32_t running = 40) {
     crowded_ = ModelName(model);
     running_ = running;
@@ -124,7 +125,7 @@
   TimePoint now{1000s};
   std::size_t most_under_way = 0;
   std::size_t unplaced_notes = 0;
-  std::size_t orders_lost = 0;  ///< of the next ones
+  std::size_t orders_lost = 0;  ///< number of next orders to drop
 
  private:
   static ModelPlacerSettings settings() {
@@ -217,13 +218,14 @@
   ModelPlacer placer_;
   std::vector<StoreReplica> replicas_;
   std::set<ModelName> wanted_;
-  std::set<ModelName> counted_;  ///< their calls have arrived
+  std::set<ModelName> counted_;  ///< models whose calls have been counted as arrivals
   std::optional<ModelName> crowded_;
   std::uint32_t running_ = 0;
 };
 
-/// A store of four at full speed gives a model each second; all at once would take the time of all.
-TEST_CASE("Many missing models are loaded as fast as a narrow store gives them") {
+/// A store of width 4 delivers one model per second at loads of 4 s. Starting all loads at once would make
+/// each take as long as all together.
+TEST_CASE("Many missing models load at the full rate of a narrow store, without oversubscribing it") {
   StoreWorld world(40, 60, 4);
   world.wantAll(0, 59);
   world.run(12s);
@@ -233,8 +235,8 @@
   CHECK(world.heldCount() >= 28);
 }
 
-/// Unloading it would wait for its runs.
-TEST_CASE("A model that nobody calls is unloaded before a spare copy of one that has runs") {
+/// Unloading the spare copy would have to wait for its running call.
+TEST_CASE("An idle model is evicted before a spare copy that has running calls") {
   StoreWorld world(2, 20, 4);
   world.replicas()[0].held = {ModelName("m1"), ModelName("m5")};
   world.replicas()[1].held = {ModelName("m2"), ModelName("m5")};
@@ -249,15 +251,15 @@
   CHECK(world.replicas()[1].held.contains(ModelName("m5")));
 }
 
-TEST_CASE("A wide store is used after some loads") {
+TEST_CASE("The capacity of a wide store is used after a few loads") {
   StoreWorld world(60, 100, 60);
   world.wantAll(0, 99);
   world.run(40s);
   CHECK(world.heldCount() >= 80);
 }
 
-/// The store slows down under loads that are under way: they take longer than any time limit.
-TEST_CASE("A load isn't given up while its replica is at it") {
+/// A store that slows down during a load makes the load exceed any fixed time limit.
+TEST_CASE("An overdue load isn't ordered again while its replica is still executing it") {
   StoreWorld world(1, 2, 1);
   world.replicas()[0].orders_taken = 7;
   world.wantAll(0, 0);
@@ -270,8 +272,8 @@
   CHECK(world.held("m0"));
 }
 
-/// While a model that calls wait for is missing and some replica is free to load it, orders go on.
-TEST_CASE("Replicas that don't answer hold up no model") {
+/// As long as a model is missing and some replica can load it, orders are sent.
+TEST_CASE("Replicas that don't answer don't delay the loading of models elsewhere") {
   StoreWorld world(12, 8, 12);
   for (std::size_t i = 0; i < 8; ++i) {
     world.replicas()[i].mute = true;
@@ -281,7 +283,7 @@
   CHECK(world.heldCount() == 8);
 }
 
-TEST_CASE("An order that was lost on its way holds its replica up no longer than it takes to ask") {
+TEST_CASE("After a lost order its replica is usable again as soon as an inspection has been answered") {
   for (const std::size_t lost : {1, 2, 3}) {
     INFO(lost << " orders lost");
     StoreWorld world(1, 6, 4);
@@ -295,7 +297,7 @@
   }
 }
 
-TEST_CASE("Weights on a replica's disk go before an empty replica") {
+TEST_CASE("A replica with the weights on its disk is preferred to an empty replica") {
   StoreWorld world(3, 12, 4);
   world.replicas()[0].held = {ModelName("m1"), ModelName("m2")};
   world.replicas()[0].on_disk = {ModelName("m0")};
@@ -305,7 +307,7 @@
   CHECK(world.replicas()[0].held.contains(ModelName("m0")));
 }
 
-TEST_CASE("Callers of a model that waits for the store are told when it should serve") {
+TEST_CASE("An expected time is known for every model that waits for the weight store") {
   StoreWorld world(8, 20, 2);
   world.wantAll(0, 9);
   world.run(3s);
@@ -319,8 +321,8 @@
   CHECK(world.unplaced_notes <= 20);
 }
 
-/// Its callers would be sent away although a replica serves them.
-TEST_CASE("No expected time is told for a model that a replica holds while it gets another copy") {
+/// Otherwise callers would be told to retry later although a replica serves the model.
+TEST_CASE("A model with a serving copy has no expected time while another copy loads") {
   StoreWorld world(3, 6, 4);
   world.replicas()[0].held = {ModelName("m0")};
   world.report(world.replicas()[0]);
--- a/tests/services/model_placer_test.cc
+++ b/tests/services/model_placer_test.cc
@@ -9,8 +9,8 @@
 #include "services/service_cluster.h"
 #include "wire/replica_life.h"
 
-/// The placer against replicas that leave orders unanswered, carry them out late, check the expected count
-/// and fall when they are ordered more than they hold.
+/// Tests of the placer against replicas that leave orders unanswered, execute them late, check the expected
+/// order count, and crash if they are ordered to hold more than fits.
 namespace ferryrock::services {
 namespace {
 
@@ -19,7 +19,7 @@
 constexpr double kCapacityMb = 130;
 constexpr std::size_t kAdapterSlots = 2;
 
-/// A replica as the users' platform describes it.
+/// Simulates a replica of the hosting platform.
 struct ScriptedReplica {
   ReplicaId id;
   std::uint64_t orders_taken = 0;
@@ -78,7 +78,7 @@
   }
 };
 
-/// Runs a placer in steps of 20 ms against some replicas.
+/// Runs a placer against simulated replicas in steps of 20 ms.
 class PlacerWorld {
  public:
   PlacerWorld(std::size_t replicas, std::uint64_t seed, double unanswered)
@@ -178,7 +178,7 @@
   std::size_t loads_ = 0;
 };
 
-TEST_CASE("A model that calls wait for is loaded where it fits") {
+TEST_CASE("A missing model that calls wait for is loaded beside another one if it fits") {
   PlacerWorld world(1, 1, 0);
   world.want("m1", "", 1);
   world.run(5s);
@@ -186,8 +186,9 @@
   CHECK(world.replicas()[0].held.contains(ModelName("m0")));
 }
 
-/// The order names the replica and the count of orders taken, which are the same in both lives.
-TEST_CASE("A load that a replica's former life left unanswered keeps its room in the next life") {
+/// The order identifies the replica by its name and its count of accepted orders, which are the same in both
+/// incarnations.
+TEST_CASE("An unanswered load stays accounted for in the next incarnation of its replica") {
   ReplicaRegistry registry;
   ModelDemand demand;
   ModelPlacerSettings settings;
@@ -220,7 +221,7 @@
   const PlacerEffects first = plan(now);
   REQUIRE(first.size() == 1);
   placer.onOrderDone(std::get<OrderReplicaEffect>(first[0]).number, OrderOutcome::Unanswered, now);
-  // It starts again, empty. Of its 130 MB 60 may be taken by the order that is on its way still.
+  // The replica restarts empty. The unanswered order may still take 60 of its 130 MB.
   now += 1s;
   registry.accept(report(2000, 1), now);
   demand.accept(router,
@@ -240,7 +241,7 @@
   CHECK_FALSE(plan(now + 13s).empty());
 }
 
-TEST_CASE("A model whose only holder can't be reached is loaded elsewhere at once") {
+TEST_CASE("A model whose only replica is unreachable is loaded elsewhere") {
   PlacerWorld world(2, 5, 0);
   world.replicas()[1].held.clear();
   world.want("m0", "", 0);
@@ -253,7 +254,7 @@
   CHECK(world.replicas()[1].held.contains(ModelName("m0")));
 }
 
-/// Adds models m3 to m19 like those that the catalog has.
+/// Adds models m3 to m19, copies of the catalog's first model.
 void addModels(wire::ServiceCatalog& catalog) {
   for (wire::HostedService& service : catalog.services) {
     for (int i = 3; service.engine && i < 20; ++i) {
@@ -269,8 +270,9 @@
   return {ServiceName("llm"), ModelName(model), "", waiting, running, arrivals};
 }
 
-/// Rare models wanted one after the other take all loads that the store allows, if they go first.
-TEST_CASE("A crowded model gets another copy although rare models are wanted all the time") {
+/// If they had priority, rare models requested one after the other would use up all loads that the store
+/// allows.
+TEST_CASE("An overloaded model gets another copy despite constant requests for rare models") {
   PlacerWorld world(4, 11, 0);
   addModels(world.catalog);
   for (std::size_t i = 0; i < 4; ++i) {
@@ -293,7 +295,7 @@
   CHECK(world.loads() > 4);
 }
 
-TEST_CASE("A model for which two others must give way gets its room without a pause between") {
+TEST_CASE("Two models that must be evicted for one are unloaded without a pause between them") {
   PlacerWorld world(1, 3, 0);
   addModels(world.catalog);
   for (wire::HostedService& service : world.catalog.services) {
@@ -303,12 +305,12 @@
   }
   world.replicas()[0].held = {{ModelName("m3"), {}}, {ModelName("m4"), {}}};
   world.want("m9", "", 1);
-  world.run(4s);  // two reports of unloads and a load, of a second each on average
+  world.run(4s);  // reports of two unloads and a load, with a mean delay of one second each
   CHECK(world.placer().loadsBegun() >= 3);
   CHECK(world.loads() == 1);
 }
 
-TEST_CASE("It is told when a model that is missing should serve") {
+TEST_CASE("The expected time of a missing model is the end of its load") {
   PlacerWorld world(1, 12, 0);
   wire::HostedService& llm = *std::find_if(world.catalog.services.begin(), world.catalog.services.end(),
                                            [](const auto& service) { return service.engine.has_value(); });
@@ -327,7 +329,7 @@
   CHECK(*expected > world.now() + load_time - 100ms);
 }
 
-TEST_CASE("A model that nobody wants gives way when there is no room") {
+TEST_CASE("An idle model is evicted for a requested one if memory is full") {
   PlacerWorld world(1, 2, 0);
   world.want("m1", "", 1);
   world.run(5s);
@@ -337,7 +339,7 @@
   CHECK_FALSE(world.replicas()[0].fell);
 }
 
-TEST_CASE("An adapter is loaded beside its model, and the least wanted one gives way") {
+TEST_CASE("An adapter is loaded onto its model's replica, evicting the one with the least demand") {
   PlacerWorld world(1, 3, 0);
   for (const char* adapter : {"a1", "a2", "a3"}) {
     world.want("m0", adapter, 1);
@@ -347,7 +349,7 @@
   CHECK_FALSE(world.replicas()[0].fell);
 }
 
-TEST_CASE("Loads from the store keep their rate") {
+TEST_CASE("Loads from the weight store don't exceed the operator's rate") {
   PlacerWorld world(30, 4, 0);
   world.want("m1", "", 500);
   world.run(5s);
@@ -355,7 +357,7 @@
   CHECK(world.loads() >= 5);
 }
 
-TEST_CASE("No order overfills a replica, though half of them are carried out late") {
+TEST_CASE("No order overfills a replica although half of the orders are executed late") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     PlacerWorld world(3, seed, 0.5);
--- a/tests/services/nearest_weights_test.cc
+++ b/tests/services/nearest_weights_test.cc
@@ -6,8 +6,7 @@
 #include "services/model_placer.h"
 #include "services/service_cluster.h"
 
-/// How long a model takes to load where its weights are nearest, and what it costs to find that out for many
-/// routers of a large fleet.
+/// Tests of the shortest load time of a model, and of its cost for many routers of a large fleet.
 namespace ferryrock::services {
 namespace {
 
@@ -32,7 +31,7 @@
   return report;
 }
 
-TEST_CASE("A model loads from the nearest place where some replica that takes calls has its weights") {
+TEST_CASE("The shortest load uses the fastest tier among replicas that take calls") {
   ReplicaRegistry registry;
   const ModelName near("near");
   const ModelName kept("kept");
@@ -48,7 +47,7 @@
   CHECK(weights.shortestLoad(ServiceName("other"), modelNamed("near"), kStart) == 6000ms);
 }
 
-TEST_CASE("What replicas report of their weights counts within a second") {
+TEST_CASE("Newly reported weights are taken into account within one second") {
   ReplicaRegistry registry;
   registry.accept(reportWith("r1", {}, {}), kStart, true);
   NearestWeights weights(registry);
@@ -59,7 +58,7 @@
   CHECK(weights.shortestLoad(ServiceName("llm"), modelNamed("m1"), kStart + 1s) == 200ms);
 }
 
-/// Replicas that a new leader looks at while it may order nothing yet and each router asks for a model.
+/// Replicas that a new leader scans if each router requests a model before orders are permitted.
 std::uint64_t passedFor(std::size_t routers, std::size_t replicas) {
   ReplicaRegistry registry;
   for (std::size_t i = 0; i < replicas; ++i) {
@@ -78,7 +77,7 @@
   return placer.replicasPassedForExpected();
 }
 
-TEST_CASE("A new leader passes over the replicas once for all routers that ask when a model will serve") {
+TEST_CASE("A new leader scans the replicas once for the requests of all routers, not once for each") {
   const std::uint64_t small = passedFor(100, 500);
   CHECK(small <= 500);
   CHECK(passedFor(200, 500) <= small);
--- a/tests/services/replica_choice_test.cc
+++ b/tests/services/replica_choice_test.cc
@@ -8,7 +8,8 @@
 
 #include "services/service_cluster.h"
 
-/// Which replicas a router is told of, without a cell: bounded whatever it asks for, and even over routers.
+/// Tests of the subset of replicas that a router receives, without a cell: its size is bounded whatever the
+/// router requests, and the replicas are spread evenly over the routers.
 namespace ferryrock::services {
 namespace {
 
@@ -40,7 +41,8 @@
   ReplicaChoice choice;
 };
 
-TEST_CASE("A router is told of few replicas, most of its own zone, and routers together of all evenly") {
+TEST_CASE(
+    "A router gets few replicas, most from its own zone; all routers together use all replicas evenly") {
   ChoiceFixture fixture;
   std::map<ReplicaId, std::size_t> told;
   constexpr std::size_t kRouters = 400;
@@ -64,7 +66,7 @@
   }
 }
 
-TEST_CASE("Names that nobody knows list nothing, and very many names are looked up in part") {
+TEST_CASE("Unknown names select no replicas, and names beyond the limit aren't looked up") {
   ChoiceFixture fixture;
   wire::CallRouterStatus status = ChoiceFixture::statusOf(1);
   status.interests = {{ServiceName("nobody"), ModelName("m1"), ""},
@@ -81,7 +83,7 @@
   CHECK(fixture.choice.choose(status, {}).size() == ReplicaChoice::kMostOfGroup);
 }
 
-TEST_CASE("A replica that is closed, gone or has unloaded the model is drawn no more") {
+TEST_CASE("A replica that is leaving or has unloaded the model is no longer selected") {
   ChoiceFixture fixture;
   wire::CallRouterStatus status = ChoiceFixture::statusOf(2);
   status.interests = {{ServiceName("llm"), ModelName("m1"), "a1"}};
--- a/tests/services/service_cluster.cc
+++ b/tests/services/service_cluster.cc
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kDiskRetry = std::chrono::milliseconds(250);
-/// A router that is asked to confirm a revision tells its status after this time.
+/// Delay of a router's status after an update that requests a confirmation.
 constexpr Duration kConfirmDelay = std::chrono::milliseconds(10);
 constexpr Duration kMessageDelay = 2ms;
 constexpr Duration kSyncDelay = 1ms;
 constexpr Duration kTickDelay = 10ms;
-/// Until a new connection stands in place of a silent one.
+/// Time until a new connection replaces a silent one.
 constexpr Duration kReconnection = 200ms;
 constexpr Duration kRouterInterval = 250ms;
 
@@ -314,7 +314,7 @@
   }
 }
 
-/// As the product's writer does: what a full or faulty disk refuses is tried again until it holds.
+/// Retries writes that a full or faulty disk rejects until they succeed, as the production writer does.
 void ServiceCluster::sync(ServiceMember& member, std::uint64_t starts) {
   if (member.starts != starts) {
     return;
@@ -462,7 +462,7 @@
   return askLeader([&](ServiceMember& member) { return evacuate(member, zone, evacuated); }, 30s);
 }
 
-/// Asks whoever leads until the answer is Ok.
+/// Sends the request to the current leader, retrying until the result is Ok.
 bool ServiceCluster::askLeader(const std::function<std::uint64_t(ServiceMember&)>& ask, Duration limit) {
   const TimePoint end = time_ + limit;
   while (time_ < end) {
--- a/tests/services/service_cluster.h
+++ b/tests/services/service_cluster.h
@@ -18,8 +18,8 @@
 #include "storage/log_storage.h"
 #include "storage/memory_file_system.h"
 
-/// A cell of service control members under a virtual clock, with a network that delays and cuts, disks that
-/// lose what wasn't synced, and scripted routers and replicas.
+/// A cell of service control members under a virtual clock, with a network that delays and drops messages,
+/// disks that lose unsynced writes on a power loss, and simulated routers and replicas.
 namespace ferryrock::services {
 
 struct ServiceMember {
@@ -28,27 +28,27 @@
   bool founder = false;
   std::unique_ptr<storage::MemoryDisk> disk;
   std::unique_ptr<storage::LogStorage> storage;
-  std::unique_ptr<ServiceControl> control;  ///< null: stopped
+  std::unique_ptr<ServiceControl> control;  ///< null while the member is stopped
   std::uint64_t starts = 0;
   std::vector<consensus::PersistEffect> unsynced;
   bool disk_hangs = false;
-  bool disk_failed = false;  ///< and wasn't mended since
+  bool disk_failed = false;  ///< a write failed and the storage has not been repaired since
   TimePoint frozen_until{};
   std::map<std::uint64_t, AnswerEffect> answers;
 };
 
-/// A router that tells its status and takes updates as the product's does.
+/// A minimal router that reports its status and applies updates as the production router does.
 struct ScriptedRouter {
   wire::CallRouterStatus status;
   std::vector<wire::ModelWant> wants;
   std::map<ReplicaId, wire::RoutedReplica> replicas;
-  std::vector<CatalogVersion> versions;  ///< in force, one after the other
-  std::size_t updates = 0;               ///< that it got
-  std::size_t sent_updates = 0;          ///< that were sent to it, whether it takes them or not
+  std::vector<CatalogVersion> versions;  ///< versions that were in force, in order
+  std::size_t updates = 0;               ///< number of updates received
+  std::size_t sent_updates = 0;          ///< number of updates sent to the router, received or not
   bool silent = false;
 };
 
-/// Counts the calls that a router admits, and those that it sends by what it was told.
+/// Counts the calls that a router admits, and those that it balances by the fleet load.
 class AdmissionLog : public EventLog {
  public:
   void write(LogLevel, std::string_view event, std::initializer_list<LogField>) override {
@@ -56,10 +56,10 @@
     balanced += event == "call.balanced" ? 1 : 0;
   }
   std::size_t admitted = 0;
-  std::size_t balanced = 0;  ///< sent by the load over all routers
+  std::size_t balanced = 0;  ///< calls sent by the load aggregated over all routers
 };
 
-/// The product's own router of calls.
+/// The production call router.
 struct RunningRouter {
   NodeName node;
   AdmissionLog log;
@@ -75,45 +75,47 @@
   TimePoint now() const { return time_; }
   ServiceMember& member(std::size_t number) { return *members_.at(number); }
   ServiceMember* leader();
-  /// Starts another process that asks to join; address_of: takes that member's address.
+  /// Starts another process that requests to join the cell. If the address is a member's, the process takes
+  /// over that address.
   ServiceMember& addMember(const std::string& address);
   void kill(ServiceMember& member);
-  /// Power is lost.
+  /// Stops the member and discards its unsynced writes, as a power loss does.
   void powerOff(ServiceMember& member);
-  /// Starts again; with an emptied disk under a new identity.
+  /// Starts the member; after wipe(), under a new identity.
   void start(ServiceMember& member);
   void wipe(ServiceMember& member);
   void isolate(const NodeName& node);
   void heal() { cuts_.clear(); }
-  /// The open connection between the two falls silent for good, in both directions and without a reset. One
-  /// that is opened anew works.
+  /// The open connection between the two nodes silently drops all messages in both directions, without a
+  /// reset. A newly opened connection works.
   void silence(const NodeName& one, const NodeName& other) { silent_.insert(std::minmax(one, other)); }
-  /// Nothing passes between the two, over a new connection neither.
+  /// Drops all messages between the two nodes, over new connections too.
   void cutLink(const NodeName& one, const NodeName& other) { cut_links_.insert(std::minmax(one, other)); }
 
   ScriptedRouter& addRouter(const std::string& name);
   RunningRouter& addCallRouter(const std::string& name);
-  /// Another process at the same address; messages to the one before may still come to it.
+  /// Replaces the router by a new process at the same address, which may still receive messages sent to the
+  /// previous one.
   void restart(RunningRouter& router);
-  /// Takes messages and looks at its clock again only after this time.
+  /// Until this time has passed, the router processes neither messages nor ticks.
   void freeze(RunningRouter& router, Duration duration) { router.frozen_until = time_ + duration; }
   void freeze(ServiceMember& member, Duration duration) { member.frozen_until = time_ + duration; }
-  /// A call with the key arrives at the router.
+  /// A call with this API key arrives at the router.
   void call(RunningRouter& router, const std::string& key);
-  /// Of members that are started later.
+  /// Setting of members that are started later.
   bool tells_loads = false;
-  /// Of routers that are added or restarted later.
+  /// Setting of routers that are added or restarted later.
   std::optional<Duration> key_lifetime;
-  /// Takes what routers do towards callers and replicas; may be empty.
+  /// Handles the effects of routers on callers and replicas; may be empty.
   std::function<void(RunningRouter&, const calls::Effect&)> on_router_effect;
-  /// Hands the member an event; one that comes while it is frozen waits.
+  /// Delivers an event to the member; while the member is frozen, the event is queued.
   void act(ServiceMember& member, const std::function<Effects(ServiceControl&, TimePoint)>& action);
-  /// Hands the router an event; one that comes while it is frozen waits.
+  /// Delivers an event to the router; while the router is frozen, the event is queued.
   void actRouter(RunningRouter& router,
                  const std::function<calls::Effects(calls::CallRouter&, TimePoint)>& action);
   void schedule(Duration delay, std::function<void()> action) { after(delay, std::move(action)); }
 
-  /// The router tells its status out of turn.
+  /// Sends the router's status immediately, in addition to the periodic reports.
   void tell(ScriptedRouter& router);
 
   void runFor(Duration duration);
@@ -124,29 +126,31 @@
   std::uint64_t read(ServiceMember& member);
   std::uint64_t evacuate(ServiceMember& member, const std::string& zone, bool evacuated);
   std::uint64_t report(ServiceMember& member, const wire::ReplicaReport& report);
-  /// nullopt: not answered yet.
+  /// Result of the request; nullopt: not answered yet.
   static std::optional<ResultCode> codeOf(const ServiceMember& member, std::uint64_t question);
-  /// Replaces at whoever leads until it is acknowledged; false if it never was.
+  /// Replaces the catalog at the current leader, retrying until it is acknowledged; false after the time
+  /// limit.
   bool replaceAcknowledged(std::uint64_t version, Duration limit = std::chrono::seconds(30));
   bool replaceAcknowledged(const wire::ServiceCatalog& catalog, Duration limit = std::chrono::seconds(30));
-  /// Evacuates a zone, or gives it back, at whoever leads until it is acknowledged; false if it never was.
+  /// Evacuates or restores a zone at the current leader, retrying until it is acknowledged; false after the
+  /// time limit.
   bool evacuateAcknowledged(const std::string& zone, bool evacuated);
-  /// Reads at whoever leads until it is answered.
+  /// Reads the catalog at the current leader, retrying until it is answered.
   std::string readConfirmed();
 
-  /// Orders that left, with their senders; answered as taken.
+  /// Orders sent, with their senders; each is answered as accepted.
   std::vector<std::pair<NodeName, OrderReplicaEffect>> orders;
   std::vector<std::pair<NodeName, TimePoint>> order_times;
-  std::size_t loads_told = 0;          ///< updates that tell the load of replicas
-  std::size_t catalogs_by_others = 0;  ///< sent by members that don't lead
-  std::size_t entries_sent = 0;        ///< replicas that updates list
-  std::size_t catalogs_sent = 0;       ///< updates that bring a catalog
+  std::size_t loads_told = 0;          ///< updates that contain the load of replicas
+  std::size_t catalogs_by_others = 0;  ///< catalog updates sent to routers by members that don't lead
+  std::size_t entries_sent = 0;        ///< replica entries in updates
+  std::size_t catalogs_sent = 0;       ///< updates that contain a catalog
   std::map<NodeName, std::size_t> updates_to;
-  std::size_t limit_messages = 0;  ///< of routers and leaders, about limits of replicas
-  std::size_t lives_told = 0;      ///< replicas that members tell each other as alive, or whole
-  /// Updates that a member sent in answer to one event, at most.
+  std::size_t limit_messages = 0;  ///< messages between routers and leaders about replica limits
+  std::size_t lives_told = 0;      ///< replica reports, full or unchanged, that members send each other
+  /// Maximum number of updates that a member sent in response to one event.
   std::size_t most_updates_per_event = 0;
-  /// Replicas listed by the updates that left within one tick, at most.
+  /// Maximum number of replica entries in updates sent within one tick.
   std::size_t most_entries_per_tick = 0;
 
  private:
@@ -186,7 +190,7 @@
   std::map<NodeName, std::unique_ptr<ScriptedRouter>> routers_;
   std::map<NodeName, std::unique_ptr<RunningRouter>> call_routers_;
   std::set<NodeName> cuts_;
-  std::set<std::pair<NodeName, NodeName>> silent_;  ///< the smaller name first
+  std::set<std::pair<NodeName, NodeName>> silent_;  ///< smaller name first
   std::set<std::pair<NodeName, NodeName>> cut_links_;
 
   class Clock : public TimeSource {
@@ -201,8 +205,8 @@
   Clock clock_{time_};
 };
 
-/// A catalog with one plain service "desk" and one service "llm" with three models of 60 MB on replicas of
-/// 130.
+/// A catalog with a service "desk" without models and a service "llm" with three models of 60 MB on replicas
+/// of 130 MB.
 wire::ServiceCatalog makeCatalog(std::uint64_t version);
 wire::ReplicaReport makeReport(const std::string& id, const std::string& service, std::uint64_t sequence);
 
--- a/tests/services/service_examples.cc
+++ b/tests/services/service_examples.cc
@@ -1,6 +1,6 @@
 #include "services/service_cluster.h"
 
-/// The catalog and the reports that tests of hosted services begin with.
+/// Default catalog and reports for tests of hosted services.
 namespace ferryrock::services {
 
 wire::ServiceCatalog makeCatalog(std::uint64_t version) {
--- a/tests/services/slow_start_test.cc
+++ b/tests/services/slow_start_test.cc
@@ -6,8 +6,8 @@
 
 #include "services/service_cluster.h"
 
-/// Replicas that are slow for some seconds after their start, before many routers: what all of them together
-/// send there.
+/// Tests how calls of many routers together are distributed to replicas that are slow for some seconds after
+/// their start.
 namespace ferryrock::services {
 namespace {
 
@@ -17,7 +17,7 @@
 constexpr std::size_t kRouters = 40;
 constexpr std::int64_t kSlowMs = 3000;
 
-/// Routers that share six replicas of a plain service.
+/// Routers that share six replicas of a service without models.
 struct SlowStartFleet {
   SlowStartFleet() : cluster(3, 1) {
     cluster.on_router_effect = [this](RunningRouter& router, const calls::Effect& effect) {
@@ -52,7 +52,7 @@
     }
     cluster.schedule(1s, [this, number] { beat(number); });
   }
-  /// The replica turns slow, as it tells at once.
+  /// The replica becomes slow and reports it immediately.
   void turnSlow(std::size_t number) {
     slow_until[number] = cluster.now() + std::chrono::milliseconds(kSlowMs);
     gone.erase(number);
@@ -60,7 +60,7 @@
     report.slow_start_ms = kSlowMs;
     cluster.report(*cluster.leader(), report);
   }
-  /// Calls of all routers, some 120 a second, for the time.
+  /// Sends calls from all routers, about 120 per second, for the given time.
   void callFor(Duration time) {
     for (Duration passed{}; passed < time; passed += 330ms) {
       for (RunningRouter* router : routers) {
@@ -84,8 +84,7 @@
   std::uint64_t sequence = 0;
 };
 
-TEST_CASE(
-    "A replica that has just started gets calls once it is no longer slow, while others can take them") {
+TEST_CASE("A slow-starting replica gets no calls until its slow start ends if others have capacity") {
   SlowStartFleet fleet;
   fleet.callFor(2s);
   fleet.turnSlow(0);
@@ -99,7 +98,7 @@
   CHECK(fleet.sent_to[SlowStartFleet::idOf(0)] > 0);
 }
 
-TEST_CASE("Replicas that are all slow are used all the same") {
+TEST_CASE("Replicas still get calls if all of them are in slow start") {
   SlowStartFleet fleet;
   for (std::size_t i = 0; i < kReplicas; ++i) {
     fleet.turnSlow(i);
--- a/tests/services/store_loads_test.cc
+++ b/tests/services/store_loads_test.cc
@@ -20,7 +20,7 @@
   return ReplicaId("r" + std::to_string(number));
 }
 
-/// Begins as many loads as are allowed; how many.
+/// Begins as many loads as are allowed and returns their number.
 std::size_t beginAll(StoreLoads& loads, std::size_t first, TimePoint now) {
   std::size_t begun = 0;
   while (loads.mayBegin(0, now)) {
@@ -30,7 +30,7 @@
   return begun;
 }
 
-TEST_CASE("The store's width grows while loads end in time") {
+TEST_CASE("The estimated width grows while loads end on time") {
   StoreLoads loads;
   TimePoint now = kStart;
   std::size_t before = 0;
@@ -46,9 +46,9 @@
   CHECK(loads.width() >= 2 * 4);
 }
 
-/// Four loads of 16 s that share a store of one place all end after 64 s; one after the other, three of them
-/// have ended by then, the first after 16 s.
-TEST_CASE("Long loads begin one at a time until the store's width is known") {
+/// Four loads of 16 s that share a store of width 1 all end after 64 s. Started one after the other, the
+/// first ends after 16 s and three have ended within 48 s.
+TEST_CASE("Long loads begin one at a time until the width has been estimated") {
   constexpr Duration kLong = 16s;
   StoreLoads loads;
   loads.expectLoad(kLong);
@@ -59,12 +59,13 @@
   CHECK(begun == 1);
 }
 
-/// A store in which `places` loads have full speed and more share it, asked for models that nobody has near.
+/// Simulates requests for models without local weights at a store with a width of `places`: loads beyond the
+/// width share its speed. Returns the number of models that serve within the time.
 std::size_t modelsServing(std::size_t places, Duration nominal, Duration within) {
   constexpr std::size_t kModels = 12;
   constexpr Duration kStep = 100ms;
   StoreLoads loads;
-  std::map<std::size_t, Duration> left;  ///< of the loads under way, at full speed
+  std::map<std::size_t, Duration> left;  ///< remaining time at full speed, by load in progress
   std::size_t next = 0;
   std::size_t serving = 0;
   for (TimePoint now = kStart; now < kStart + within; now += kStep) {
@@ -88,18 +89,17 @@
   return serving;
 }
 
-/// Models of 16 s at a store of one place, as its callers see them. Before long loads began one at a time
-/// none was served within 50 s.
-TEST_CASE("A store of one place and long loads brings one model after the other") {
+/// Started concurrently, no load of 16 s would complete within 50 s at a store of width 1.
+TEST_CASE("Long loads at a store of width 1 complete one after the other") {
   CHECK(modelsServing(1, 16s, 50s) >= 2);
   CHECK(modelsServing(1, 16s, 120s) >= 6);
 }
 
-TEST_CASE("A store of many places and short loads isn't held back") {
+TEST_CASE("Short loads at a wide store aren't throttled") {
   CHECK(modelsServing(8, 3s, 10s) >= 12);
 }
 
-TEST_CASE("The store's width follows from how much loads slow each other") {
+TEST_CASE("The estimated width follows from how much concurrent loads slow each other down") {
   StoreLoads loads;
   constexpr std::size_t kTrueWidth = 2;
   const std::size_t begun = beginAll(loads, 0, kStart);
@@ -111,8 +111,8 @@
   CHECK(loads.width() >= kTrueWidth);
 }
 
-/// Orders and reports take as long as the load itself.
-TEST_CASE("Short loads widen the store although their reports come late") {
+/// The delay of orders and reports is about as long as the load itself.
+TEST_CASE("The estimated width grows with short loads although their reports arrive late") {
   constexpr Duration kShort = 600ms;
   constexpr Duration kLate = 350ms;
   StoreLoads loads;
@@ -130,8 +130,8 @@
   CHECK(loads.width() >= 2 * 4);
 }
 
-/// Loads of 0.6 s: a store of any width is done with the first round within seconds.
-TEST_CASE("Short loads begin wide and fill a wide store within a few rounds") {
+/// With loads of 0.6 s, a store of any width completes the first round within seconds.
+TEST_CASE("Short loads start with a high limit and fill a wide store within a few rounds") {
   constexpr Duration kShort = 600ms;
   constexpr std::size_t kStoreWidth = 100;
   StoreLoads loads;
@@ -150,7 +150,7 @@
   CHECK(begun >= kStoreWidth / 2);
 }
 
-TEST_CASE("What long loads have shown isn't forgotten, and they begin narrow") {
+TEST_CASE("Long loads start with a low limit, and a later short load doesn't reset the estimate") {
   StoreLoads loads;
   loads.expectLoad(kNominal);
   const std::size_t begun = beginAll(loads, 0, kStart);
@@ -165,7 +165,7 @@
   CHECK(loads.width() == learned);
 }
 
-TEST_CASE("Loads that are late together narrow the store before they end") {
+TEST_CASE("Several overdue loads lower the estimated width before they end") {
   StoreLoads loads;
   const std::size_t begun = beginAll(loads, 0, kStart);
   const double before = loads.width();
@@ -176,7 +176,7 @@
   CHECK(loads.underWay() == begun);
 }
 
-TEST_CASE("One late load among many is its replica's fault") {
+TEST_CASE("A single overdue load among many doesn't lower the estimated width") {
   StoreLoads loads;
   const std::size_t begun = beginAll(loads, 0, kStart);
   REQUIRE(begun > 2);
@@ -190,7 +190,7 @@
   CHECK(loads.width() == before);
 }
 
-TEST_CASE("Loads of replicas that are gone leave their place") {
+TEST_CASE("Loads of removed replicas free their capacity") {
   StoreLoads loads;
   const std::size_t begun = beginAll(loads, 0, kStart);
   CHECK_FALSE(loads.mayBegin(0, kStart));
@@ -199,7 +199,7 @@
   CHECK(beginAll(loads, begun, kStart + 1s) == begun - 1);
 }
 
-TEST_CASE("Loads begin no faster than the operator allows") {
+TEST_CASE("Loads begin no faster than the operator's rate") {
   StoreLoads loads;
   constexpr double kPerSecond = 0.5;
   std::size_t begun = 0;
@@ -210,10 +210,10 @@
       ++begun;
     }
   }
-  CHECK(begun == 2);  // nine tenths of 0.5 a second over 5 s
+  CHECK(begun == 2);  // nine tenths of 0.5 per second over 5 s
 }
 
-TEST_CASE("The forecast lets loads wait for those before them") {
+TEST_CASE("The forecast queues loads behind those ahead of them") {
   StoreLoads loads;
   const std::size_t begun = beginAll(loads, 0, kStart);
   StoreLoads::Forecast forecast = loads.forecast(kStart + 2s);
