--- a/src/services/model_demand.cc
+++ b/src/services/model_demand.cc
@@ -7,11 +7,11 @@
 namespace {
 
 /// Time constant: an arrival's weight decays to 1/e within this time.
-constexpr double kFadeSeconds = 4.0;
-constexpr double kSlowFadeSeconds = 20.0;
-constexpr double kForgottenBelow = 0.02;
+constexpr double kDecaySeconds = 4.0;
+constexpr double kSlowDecaySeconds = 20.0;
+constexpr double kMinRetainedArrivals = 0.02;
 
-std::uint32_t changedBy(std::uint32_t value, std::uint32_t amount, int sign) {
+std::uint32_t addClamped(std::uint32_t value, std::uint32_t amount, int sign) {
   if (sign > 0) {
     return value + amount;
   }
@@ -21,20 +21,20 @@
 }  // namespace
 
 double KeyDemand::rate() const {
-  return recent_arrivals / kFadeSeconds;
+  return recent_arrivals / kDecaySeconds;
 }
 
 void ModelDemand::accept(const NodeName& router, const std::vector<wire::ModelWant>& wants, TimePoint now) {
   forgetRouter(router);
-  for (const wire::ModelWant& want : wants) {
-    addWant(want, 1, now);
+  for (const wire::ModelWant& counts : wants) {
+    addCounts(counts, 1, now);
   }
-  last_wants_[router] = wants;
+  last_reports_[router] = wants;
 }
 
 void ModelDemand::keepRouters(const std::map<NodeName, RouterRecord>& routers) {
   std::vector<NodeName> gone;
-  for (const auto& [router, wants] : last_wants_) {
+  for (const auto& [router, wants] : last_reports_) {
     if (!routers.contains(router)) {
       gone.push_back(router);
     }
@@ -45,32 +45,32 @@
 }
 
 void ModelDemand::forgetRouter(const NodeName& router) {
-  const auto known = last_wants_.find(router);
-  if (known == last_wants_.end()) {
+  const auto known = last_reports_.find(router);
+  if (known == last_reports_.end()) {
     return;
   }
-  for (const wire::ModelWant& want : known->second) {
-    addWant(want, -1, TimePoint{});
+  for (const wire::ModelWant& counts : known->second) {
+    addCounts(counts, -1, TimePoint{});
   }
-  last_wants_.erase(known);
+  last_reports_.erase(known);
 }
 
-void ModelDemand::addWant(const wire::ModelWant& want, int sign, TimePoint now) {
-  add({want.service, want.model, {}}, want, sign, now);
-  if (!want.adapter.empty()) {
-    add({want.service, want.model, want.adapter}, want, sign, now);
+void ModelDemand::addCounts(const wire::ModelWant& counts, int sign, TimePoint now) {
+  add({counts.service, counts.model, {}}, counts, sign, now);
+  if (!counts.adapter.empty()) {
+    add({counts.service, counts.model, counts.adapter}, counts, sign, now);
   }
 }
 
-void ModelDemand::add(const ModelKey& key, const wire::ModelWant& want, int sign, TimePoint now) {
+void ModelDemand::add(const ModelKey& key, const wire::ModelWant& counts, int sign, TimePoint now) {
   KeyDemand& demand = keys_[key];
-  demand.waiting = changedBy(demand.waiting, want.waiting, sign);
-  demand.running = changedBy(demand.running, want.running, sign);
+  demand.waiting = addClamped(demand.waiting, counts.waiting, sign);
+  demand.running = addClamped(demand.running, counts.running, sign);
   if (sign > 0) {
-    demand.recent_arrivals += want.arrivals;
-    demand.lasting_arrivals += want.arrivals;
-    if (want.waiting + want.running + want.arrivals > 0) {
-      demand.last_wanted = now;
+    demand.recent_arrivals += counts.arrivals;
+    demand.long_term_arrivals += counts.arrivals;
+    if (counts.waiting + counts.running + counts.arrivals > 0) {
+      demand.last_demand = now;
     }
   }
 }
@@ -81,18 +81,18 @@
 }
 
 void ModelDemand::fade(TimePoint now) {
-  const double passed = toSeconds(now - faded_);
-  faded_ = now;
+  const double passed = toSeconds(now - decayed_at_);
+  decayed_at_ = now;
   const auto kept = [passed](double fade) { return std::exp(-std::clamp(passed, 0.0, fade) / fade); };
-  const double kept_recent = kept(kFadeSeconds);
-  const double kept_lasting = kept(kSlowFadeSeconds);
+  const double kept_recent = kept(kDecaySeconds);
+  const double kept_long_term = kept(kSlowDecaySeconds);
   for (auto& [key, demand] : keys_) {
     demand.recent_arrivals *= kept_recent;
-    demand.lasting_arrivals *= kept_lasting;
+    demand.long_term_arrivals *= kept_long_term;
   }
   std::erase_if(keys_, [](const auto& item) {
     const KeyDemand& demand = item.second;
-    return demand.waiting == 0 && demand.running == 0 && demand.lasting_arrivals < kForgottenBelow;
+    return demand.waiting == 0 && demand.running == 0 && demand.long_term_arrivals < kMinRetainedArrivals;
   });
 }
 
--- a/src/services/model_demand.h
+++ b/src/services/model_demand.h
@@ -25,9 +25,9 @@
   double rate() const;
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
-  double recent_arrivals = 0;   ///< arrivals, decaying exponentially within seconds
-  double lasting_arrivals = 0;  ///< arrivals, decaying more slowly; ranks what to evict
-  TimePoint last_wanted{};
+  double recent_arrivals = 0;     ///< arrivals, decaying exponentially within seconds
+  double long_term_arrivals = 0;  ///< arrivals, decaying more slowly; ranks what to evict
+  TimePoint last_demand{};
 };
 
 /// Aggregates the call counts that routers report per model and adapter. Not thread-safe.
@@ -46,12 +46,12 @@
 
  private:
   void forgetRouter(const NodeName& router);
-  void add(const ModelKey& key, const wire::ModelWant& want, int sign, TimePoint now);
-  void addWant(const wire::ModelWant& want, int sign, TimePoint now);
+  void add(const ModelKey& key, const wire::ModelWant& counts, int sign, TimePoint now);
+  void addCounts(const wire::ModelWant& counts, int sign, TimePoint now);
 
   std::map<ModelKey, KeyDemand> keys_;
-  std::map<NodeName, std::vector<wire::ModelWant>> last_wants_;
-  TimePoint faded_{};
+  std::map<NodeName, std::vector<wire::ModelWant>> last_reports_;
+  TimePoint decayed_at_{};
 };
 
 }  // namespace ferryrock::services
--- a/src/services/model_placer.cc
+++ b/src/services/model_placer.cc
@@ -12,14 +12,14 @@
 
 /// A replica may carry out an unanswered order with a delay of up to 12 s, the longest that operators
 /// specify.
-constexpr Duration kLateOrders = std::chrono::seconds(12);
+constexpr Duration kMaxOrderDelay = std::chrono::seconds(12);
 
 }  // namespace
 
 PlacerEffects ModelPlacer::plan(const wire::ServiceCatalog& catalog, const std::set<ReplicaId>& unreachable,
                                 TimePoint now) {
   if (now >= settings_.first_order) {
-    followLives(now);
+    forgetRemovedReplicas(now);
     expected_.clear();
     compared_ = 0;
     for (const wire::HostedService& service : catalog.services) {
@@ -27,7 +27,7 @@
         indexModels(*service.engine);
         Candidates candidates = candidatesOf(service, unreachable, now);
         countCopies(candidates, now);
-        noteExpected(service, candidates, now);
+        recordExpectedTimes(service, candidates, now);
         lost_capacity_ = lostCapacities(candidates);
         placeAdapters(service, candidates, now);
         placeModels(catalog, service, candidates, now);
@@ -39,8 +39,8 @@
 
 /// An unanswered load stays accounted for after a restart: the order identifies the replica by its name and
 /// its count of accepted orders, and both may be the same in the next incarnation.
-void ModelPlacer::followLives(TimePoint now) {
-  std::erase_if(strays_, [now](const auto& item) { return now >= item.second.until; });
+void ModelPlacer::forgetRemovedReplicas(TimePoint now) {
+  std::erase_if(orphaned_loads_, [now](const auto& item) { return now >= item.second.until; });
   std::erase_if(engines_, [&](const auto& item) {
     const auto& [id, engine] = item;
     if (registry_.find(id) != nullptr) {
@@ -48,7 +48,7 @@
     }
     const bool answered = !engine.pending && engine.orders_taken;
     if (engine.loading && !answered) {
-      strays_[wire::replicaName(id)] = {engine.loading_mb, now + kLateOrders};
+      orphaned_loads_[wire::replicaName(id)] = {engine.loading_mb, now + kMaxOrderDelay};
     }
     return true;
   });
@@ -82,14 +82,14 @@
            !unreachable.contains(id);
   };
   storeOf(service.name).keepIf(isCandidate, now);
-  settleFinished(candidates, now);
+  applyReports(candidates, now);
   storeOf(service.name).observeOverdue(now);
   return candidates;
 }
 
 /// Records when models that no replica serves yet are expected to serve, from the loads in progress.
-void ModelPlacer::noteExpected(const wire::HostedService& service, const Candidates& candidates,
-                               TimePoint now) {
+void ModelPlacer::recordExpectedTimes(const wire::HostedService& service, const Candidates& candidates,
+                                      TimePoint now) {
   for (const Candidate& candidate : candidates) {
     const Engine& engine = *candidate.engine;
     if (engine.loading && !served_.contains(*engine.loading) && !loadIsLate(engine, now)) {
@@ -111,7 +111,7 @@
 }
 
 /// Computed lazily, because a plan evaluates only a few replicas of a large service.
-double& ModelPlacer::usedOf(const wire::HostedService& service, Candidate& candidate) {
+double& ModelPlacer::cachedUsedMegabytes(const wire::HostedService& service, Candidate& candidate) {
   if (!candidate.used_mb) {
     candidate.used_mb = usedMegabytes(*candidate.record, *candidate.engine, *service.engine);
     ++compared_;
@@ -121,7 +121,7 @@
 
 /// Ends loads and unloads that reports show as complete. A load that is late isn't cancelled while the
 /// replica may still be executing it; the replica is inspected instead.
-void ModelPlacer::settleFinished(Candidates& candidates, TimePoint now) {
+void ModelPlacer::applyReports(Candidates& candidates, TimePoint now) {
   for (Candidate& candidate : candidates) {
     Engine& engine = *candidate.engine;
     if (engine.loading && holds(*candidate.record, *engine.loading)) {
@@ -131,15 +131,15 @@
       }
       forgetLoad(candidate.record->report.id, engine, now);
     }
-    settleUnload(candidate);
-    const bool in_doubt = (engine.loading || engine.unloading) && now >= engine.doubted_from;
-    if (in_doubt && ready(candidate, now)) {
+    applyReportedUnload(candidate);
+    const bool needs_inspection = (engine.loading || engine.unloading) && now >= engine.inspect_at;
+    if (needs_inspection && canOrder(candidate, now)) {
       inspect(candidate, now);
     }
   }
 }
 
-void ModelPlacer::settleUnload(Candidate& candidate) {
+void ModelPlacer::applyReportedUnload(Candidate& candidate) {
   Engine& engine = *candidate.engine;
   if (!engine.unloading) {
     return;
@@ -172,8 +172,8 @@
     models.insert(held.model);
   }
   double used = engine.loading && !models.contains(*engine.loading) ? engine.loading_mb : 0;
-  const auto stray = strays_.find(wire::replicaName(record.report.id));
-  used += stray == strays_.end() ? 0 : stray->second.megabytes;
+  const auto orphaned = orphaned_loads_.find(wire::replicaName(record.report.id));
+  used += orphaned == orphaned_loads_.end() ? 0 : orphaned->second.megabytes;
   for (const ModelName& name : models) {
     const wire::HostedModel* model = modelNamed(name);
     used += model != nullptr ? model->weight_mb : traits.weight_capacity_mb;
@@ -185,7 +185,7 @@
   return used;
 }
 
-bool ModelPlacer::ready(const Candidate& candidate, TimePoint now) const {
+bool ModelPlacer::canOrder(const Candidate& candidate, TimePoint now) const {
   return !candidate.engine->pending && now >= candidate.engine->not_before;
 }
 
@@ -252,18 +252,19 @@
       return;
     }
     const bool usable = holds(*candidate.record, key.model) && engine.unloading != key.model;
-    const bool occupied = engine.loading || engine.unloading || !ready(candidate, now);
+    const bool occupied = engine.loading || engine.unloading || !canOrder(candidate, now);
     const std::pair<bool, std::size_t> rank{occupied, adapters.size()};
     if (usable && (best == nullptr || rank < best_rank)) {
       best = &candidate;
       best_rank = rank;
     }
   }
-  if (best == nullptr || model == nullptr || !ready(*best, now)) {
+  if (best == nullptr || model == nullptr || !canOrder(*best, now)) {
     return;
   }
   const bool slot_free = best_rank.second < service.engine->adapter_slots;
-  const bool fits = usedOf(service, *best) + model->adapter_mb <= service.engine->weight_capacity_mb;
+  const bool fits =
+      cachedUsedMegabytes(service, *best) + model->adapter_mb <= service.engine->weight_capacity_mb;
   if (slot_free && fits) {
     order(*best, OrderAction::Load, key.model, key.adapter, model->adapter_mb, now);
     return;
@@ -274,9 +275,9 @@
     const ModelKey other{service.name, name, adapter};
     const KeyDemand wanted = demand_.find(other);
     const bool idle = wanted.running == 0 && wanted.waiting == 0;
-    if (idle && (!least || wanted.lasting_arrivals < least_arrivals)) {
+    if (idle && (!least || wanted.long_term_arrivals < least_arrivals)) {
       least = other;
-      least_arrivals = wanted.lasting_arrivals;
+      least_arrivals = wanted.long_term_arrivals;
     }
   }
   if (least) {
--- a/src/services/model_placer.h
+++ b/src/services/model_placer.h
@@ -56,7 +56,7 @@
   /// Number of replicas whose used memory the last plan() computed.
   std::size_t compared() const { return compared_; }
   /// Number of replicas scanned for expectedAt().
-  std::uint64_t replicasPassedForExpected() const { return nearest_weights_.replicasPassed(); }
+  std::uint64_t replicasScannedForExpected() const { return nearest_weights_.replicasScanned(); }
   void onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now);
   /// state: nullopt if the replica didn't answer.
   void onInspected(OrderNumber number, const std::optional<ReplicaState>& state, TimePoint now);
@@ -77,15 +77,15 @@
     std::optional<ModelName> loading;  ///< load in progress that no report shows yet
     double loading_mb = 0;
     TimePoint loading_since{};
-    Duration loading_time{};            ///< expected duration
-    TimePoint doubted_from{};           ///< time to inspect the replica for the outcome of its order
-    StoreLoads* store = nullptr;        ///< tracks the load if it reads from the weight store
-    std::optional<ModelName> room_for;  ///< model for which another one is being unloaded
-    TimePoint room_since{};
+    Duration loading_time{};                ///< expected duration
+    TimePoint inspect_at{};                 ///< time to inspect the replica for the outcome of its order
+    StoreLoads* store = nullptr;            ///< tracks the load if it reads from the weight store
+    std::optional<ModelName> reserved_for;  ///< model for which another one is being unloaded
+    TimePoint reserved_since{};
     std::optional<ModelName> unloading;
     TimePoint unloading_since{};
-    TimePoint not_before{};  ///< earliest time of the next order
-    int unanswered = 0;      ///< consecutive inspections without an answer
+    TimePoint not_before{};          ///< earliest time of the next order
+    int unanswered_inspections = 0;  ///< consecutive inspections without an answer
     /// Contents by the last inspection and the orders since. Reports may be older than these.
     std::set<ModelName> models;
     std::set<AdapterKey> adapters;
@@ -95,25 +95,25 @@
   struct Candidate {
     const ReplicaRecord* record = nullptr;
     Engine* engine = nullptr;
-    std::optional<double> used_mb;  ///< computed on first use, see usedOf()
+    std::optional<double> used_mb;  ///< computed on first use, see cachedUsedMegabytes()
     TimePoint claimed_until{};      ///< until then the replica is claimed for a more urgent model
   };
   using Candidates = std::vector<Candidate>;
   using CopyCounts = std::map<ModelName, std::size_t>;
   using Capacities = std::map<ModelName, double>;
   using HoldersByModel = std::map<ModelName, std::vector<Candidate*>>;
-  struct WantedModel {
+  struct PlacementRequest {
     double urgency = 0;
     bool missing = false;  ///< no replica holds the model
     const wire::HostedModel* model = nullptr;
   };
   /// Sorted by descending urgency.
-  using WantedModels = std::vector<WantedModel>;
-  class NearWeights;
+  using PlacementRequests = std::vector<PlacementRequest>;
+  class LocalWeights;
   /// The model to evict from a replica.
   struct Victim {
     ModelName model;
-    double worth = 0;
+    double retention_value = 0;
     double evictable_mb = 0;  ///< total size of all evictable models on the replica
     bool running = false;
   };
@@ -130,35 +130,35 @@
     UnplacedReason reason = UnplacedReason::None;
     std::uint32_t near_replicas = 0;
   };
-  struct Note {
+  struct UnplacedLog {
     TimePoint at{};
   };
   /// Load ordered from an earlier incarnation of a replica that never answered. The current incarnation may
   /// still carry it out until the given time.
-  struct StrayLoad {
+  struct OrphanedLoad {
     double megabytes = 0;
     TimePoint until{};
   };
 
   // model_placer.cc
   /// Discards the state of replicas and incarnations that the registry no longer knows.
-  void followLives(TimePoint now);
-  void settleFinished(Candidates& candidates, TimePoint now);
-  static void settleUnload(Candidate& candidate);
-  void noteExpected(const wire::HostedService& service, const Candidates& candidates, TimePoint now);
+  void forgetRemovedReplicas(TimePoint now);
+  void applyReports(Candidates& candidates, TimePoint now);
+  static void applyReportedUnload(Candidate& candidate);
+  void recordExpectedTimes(const wire::HostedService& service, const Candidates& candidates, TimePoint now);
   static bool loadIsLate(const Engine& engine, TimePoint now);
   /// Removes the pending order or inspection with this number; engines_.end() if it is no longer pending.
   std::map<ReplicaId, Engine>::iterator takePending(OrderNumber number);
   Candidates candidatesOf(const wire::HostedService& service, const std::set<ReplicaId>& unreachable,
                           TimePoint now);
-  double& usedOf(const wire::HostedService& service, Candidate& candidate);
+  double& cachedUsedMegabytes(const wire::HostedService& service, Candidate& candidate);
   double usedMegabytes(const ReplicaRecord& record, const Engine& engine,
                        const wire::EngineTraits& traits) const;
   void indexModels(const wire::EngineTraits& traits);
   const wire::HostedModel* modelNamed(const ModelName& name) const;
   /// Adapters that are, or may be, loaded on the replica, including loads in progress.
   static std::set<AdapterKey> adaptersOf(const ReplicaRecord& record, const Engine& engine);
-  bool ready(const Candidate& candidate, TimePoint now) const;
+  bool canOrder(const Candidate& candidate, TimePoint now) const;
   void placeAdapters(const wire::HostedService& service, Candidates& candidates, TimePoint now);
   void loadAdapter(const wire::HostedService& service, const ModelKey& key,
                    const std::vector<Candidate*>& holders, TimePoint now);
@@ -167,29 +167,31 @@
   // model_placer_models.cc
   void placeModels(const wire::ServiceCatalog& catalog, const wire::HostedService& service,
                    Candidates& candidates, TimePoint now);
-  WantedModels wantedModels(const wire::HostedService& service) const;
-  std::optional<Placement> placeNear(const wire::HostedService& service, const wire::HostedModel& model,
-                                     Candidates& candidates, const NearWeights& near, TimePoint now);
+  PlacementRequests placementRequests(const wire::HostedService& service) const;
+  std::optional<Placement> placeFromLocalTier(const wire::HostedService& service,
+                                              const wire::HostedModel& model, Candidates& candidates,
+                                              const LocalWeights& local_weights, TimePoint now);
   Placement placeFromStore(const wire::HostedService& service, const wire::HostedModel& model,
                            Candidates& candidates, StoreLoads::Forecast& forecast, TimePoint now);
   StoreLoads& storeOf(const ServiceName& service);
-  void notePlacement(const wire::HostedService& service, const WantedModel& item, const Placement& placement,
-                     Duration longest_absence, TimePoint now);
-  std::optional<Placement> comingRoom(const wire::HostedService& service, const wire::HostedModel& model,
-                                      const Candidates& candidates, TimePoint now) const;
+  void recordPlacement(const wire::HostedService& service, const PlacementRequest& item,
+                       const Placement& placement, Duration max_retry_delay, TimePoint now);
+  std::optional<Placement> findReservedReplica(const wire::HostedService& service,
+                                               const wire::HostedModel& model, const Candidates& candidates,
+                                               TimePoint now) const;
   std::optional<Option> optionOn(const wire::HostedService& service, const wire::HostedModel& model,
                                  Candidate& candidate, TimePoint now);
   TimePoint freeAt(const wire::HostedService& service, const Candidate& candidate, TimePoint now) const;
-  std::optional<Victim> leastWorth(const wire::HostedService& service, const Candidate& candidate,
-                                   TimePoint now) const;
+  std::optional<Victim> selectVictim(const wire::HostedService& service, const Candidate& candidate,
+                                     TimePoint now) const;
   /// Value of keeping the model on a replica; nullopt if it must not be evicted.
-  std::optional<double> keepWorth(const wire::HostedService& service, const ModelName& model,
-                                  TimePoint now) const;
-  Placement take(const wire::HostedService& service, const wire::HostedModel& model, const Option& option,
-                 TimePoint now);
+  std::optional<double> retentionValue(const wire::HostedService& service, const ModelName& model,
+                                       TimePoint now) const;
+  Placement applyOption(const wire::HostedService& service, const wire::HostedModel& model,
+                        const Option& option, TimePoint now);
   void beginLoad(const wire::HostedService& service, const wire::HostedModel& model, Candidate& candidate,
                  TimePoint now);
-  void forgetPromises(const wire::HostedService& service, const WantedModels& wanted);
+  void forgetAnnouncements(const wire::HostedService& service, const PlacementRequests& requests);
   /// Counts, by model, the copies that serve or are being loaded.
   void countCopies(const Candidates& candidates, TimePoint now);
   std::size_t copies(const ModelName& model) const;
@@ -198,12 +200,12 @@
   Capacities lostCapacities(const Candidates& candidates) const;
   double slownessOf(const ReplicaId& replica) const;
   double urgency(const wire::HostedService& service, const ModelName& model, const KeyDemand& demand) const;
-  static void dropReservations(Candidates& candidates, const WantedModels& wanted, TimePoint now);
+  static void dropReservations(Candidates& candidates, const PlacementRequests& requests, TimePoint now);
   /// Running plus waiting calls that one copy can carry.
-  static double callsInHandPerCopy(const wire::HostedService& service);
+  static double callsInFlightPerCopy(const wire::HostedService& service);
   /// Number of copies on full-speed replicas that the demand requires.
-  double wantedCapacity(const wire::HostedService& service, const ModelName& model) const;
-  bool waitsForRuns(const wire::HostedService& service, const Engine& engine) const;
+  double requiredCapacity(const wire::HostedService& service, const ModelName& model) const;
+  bool waitsForRunningCalls(const wire::HostedService& service, const Engine& engine) const;
 
   // model_placer_orders.cc
   /// Sends the order, or an inspection first if the replica's count of accepted orders is unknown or
@@ -212,22 +214,23 @@
              double megabytes, TimePoint now);
   void inspect(Candidate& candidate, TimePoint now);
   static void forgetLoad(const ReplicaId& replica, Engine& engine, TimePoint now);
-  static void takeState(Engine& engine, const ReplicaState& state);
-  void settleDoubt(const ReplicaId& replica, Engine& engine, const ReplicaState& state, TimePoint now);
-  void noteUnplaced(const wire::HostedService& service, const WantedModel& wanted, const Placement& placement,
-                    TimePoint now);
+  static void applyState(Engine& engine, const ReplicaState& state);
+  void resolveInspectedOrder(const ReplicaId& replica, Engine& engine, const ReplicaState& state,
+                             TimePoint now);
+  void reportUnplaced(const wire::HostedService& service, const PlacementRequest& request,
+                      const Placement& placement, TimePoint now);
 
   ModelPlacerSettings settings_;
   ReplicaRegistry& registry_;
   ModelDemand& demand_;
   NearestWeights nearest_weights_;
   std::map<ReplicaId, Engine> engines_;
-  std::map<std::string, StrayLoad> strays_;  ///< by replica name, without the incarnation
+  std::map<std::string, OrphanedLoad> orphaned_loads_;  ///< by replica name, without the incarnation
   std::map<ServiceName, StoreLoads> stores_;
   std::map<ServiceModel, TimePoint>
-      expected_;                     ///< expected serving times of missing models, by the last plan
-  std::set<ServiceModel> promised_;  ///< missing models whose callers got a time to retry after
-  std::map<ServiceModel, Note> noted_;
+      expected_;                      ///< expected serving times of missing models, by the last plan
+  std::set<ServiceModel> announced_;  ///< missing models whose callers got a time to retry after
+  std::map<ServiceModel, UnplacedLog> unplaced_logged_;
   std::uint64_t next_number_ = 1;
   std::uint64_t loads_begun_ = 0;
   std::map<std::uint32_t, double> slowness_;
--- a/src/services/model_placer_orders.cc
+++ b/src/services/model_placer_orders.cc
@@ -13,20 +13,20 @@
 constexpr Duration kReportLag = std::chrono::milliseconds(300);
 constexpr Duration kRetryAfterConflict = std::chrono::milliseconds(400);
 /// Retries to a replica that doesn't answer are delayed by an exponential backoff up to this value.
-constexpr Duration kLongestSilencePause = std::chrono::seconds(5);
-constexpr int kMostDoublings = 4;
-/// An unload that no report confirms is verified by an inspection after kDoubtedUnload. A replica that was
-/// still busy is inspected again after kDoubtedAgain.
-constexpr Duration kDoubtedUnload = std::chrono::seconds(4);
-constexpr Duration kDoubtedAgain = std::chrono::seconds(2);
-/// Each unplaced model is reported at most once per kNoteInterval, and at most kMostNotes models are reported
-/// within that time.
-constexpr Duration kNoteInterval = std::chrono::seconds(2);
-constexpr std::size_t kMostNotes = 16;
+constexpr Duration kMaxRetryBackoff = std::chrono::seconds(5);
+constexpr int kMaxDoublings = 4;
+/// An unload that no report confirms is verified by an inspection after kUnloadInspectionDelay. A replica
+/// that was still busy is inspected again after kReinspectionDelay.
+constexpr Duration kUnloadInspectionDelay = std::chrono::seconds(4);
+constexpr Duration kReinspectionDelay = std::chrono::seconds(2);
+/// Each unplaced model is reported at most once per kUnplacedReportInterval, and at most kMaxUnplacedReports
+/// models are reported within that time.
+constexpr Duration kUnplacedReportInterval = std::chrono::seconds(2);
+constexpr std::size_t kMaxUnplacedReports = 16;
 /// Delay from an unanswered order to the inspection of its replica if prompt verification is disabled.
-constexpr Duration kPatientDoubt = std::chrono::seconds(12);
+constexpr Duration kDelayedInspection = std::chrono::seconds(12);
 /// Time for which the result of an inspection is valid.
-constexpr Duration kInspectionLasts = std::chrono::seconds(15);
+constexpr Duration kInspectionTtl = std::chrono::seconds(15);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
                         const std::string& adapter, double megabytes, TimePoint now) {
   Engine& engine = *candidate.engine;
   const wire::ReplicaReport& report = candidate.record->report;
-  if (!engine.orders_taken || now - engine.inspected > kInspectionLasts) {
+  if (!engine.orders_taken || now - engine.inspected > kInspectionTtl) {
     inspect(candidate, now);
     return;
   }
@@ -55,7 +55,7 @@
     registry_.withdrawModel(report.id, model, now);
     engine.unloading = model;
     engine.unloading_since = now;
-    engine.doubted_from = now + kDoubtedUnload;
+    engine.inspect_at = now + kUnloadInspectionDelay;
     --copies_[model];
   } else if (action == OrderAction::Load && adapter.empty()) {
     engine.loading = model;
@@ -138,7 +138,7 @@
       // The replica may be executing the order or receive it late, so its memory stays accounted for until
       // the replica's state is known.
       engine.orders_taken.reset();
-      engine.doubted_from = settings_.switches.prompt_doubts ? now : now + kPatientDoubt;
+      engine.inspect_at = settings_.switches.prompt_doubts ? now : now + kDelayedInspection;
       break;
   }
 }
@@ -152,11 +152,12 @@
   engine.pending.reset();
   if (!state) {
     // The backoff lets other replicas get the work meanwhile.
-    engine.not_before = now + std::min(kLongestSilencePause, kRetryAfterConflict * (1 << engine.unanswered));
-    engine.unanswered = std::min(engine.unanswered + 1, kMostDoublings);
+    engine.not_before =
+        now + std::min(kMaxRetryBackoff, kRetryAfterConflict * (1 << engine.unanswered_inspections));
+    engine.unanswered_inspections = std::min(engine.unanswered_inspections + 1, kMaxDoublings);
     return;
   }
-  engine.unanswered = 0;
+  engine.unanswered_inspections = 0;
   const std::uint64_t born = wire::replicaBorn(found->first);
   if (born != 0 && state->born != 0 && state->born != born) {
     // The answer comes from another incarnation, whose order count and contents don't apply to this one.
@@ -166,23 +167,23 @@
   if (state->busy) {
     engine.not_before = now + kRetryAfterConflict;
   }
-  takeState(engine, *state);
+  applyState(engine, *state);
   engine.inspected = now;
-  settleDoubt(found->first, engine, *state, now);
+  resolveInspectedOrder(found->first, engine, *state, now);
 }
 
 /// Resolves an order whose outcome is unverified. A replica that isn't busy either has not received the order
 /// or has failed to execute it. If the order arrives late, it is executed before any newer one or not at all,
 /// because only one order with a given order count is accepted.
-void ModelPlacer::settleDoubt(const ReplicaId& replica, Engine& engine, const ReplicaState& state,
-                              TimePoint now) {
+void ModelPlacer::resolveInspectedOrder(const ReplicaId& replica, Engine& engine, const ReplicaState& state,
+                                        TimePoint now) {
   if (state.busy) {
-    engine.doubted_from = now + kDoubtedAgain;
+    engine.inspect_at = now + kReinspectionDelay;
     return;
   }
   if (engine.loading && now - engine.loading_since > kReportLag) {
     if (engine.models.contains(*engine.loading)) {
-      engine.doubted_from = now + kDoubtedAgain;
+      engine.inspect_at = now + kReinspectionDelay;
     } else {
       forgetLoad(replica, engine, now);
     }
@@ -196,7 +197,7 @@
 
 /// Stores the order count together with the contents: an order with this count is rejected if the replica has
 /// accepted another order since.
-void ModelPlacer::takeState(Engine& engine, const ReplicaState& state) {
+void ModelPlacer::applyState(Engine& engine, const ReplicaState& state) {
   if (!state.busy) {
     engine.orders_taken = state.orders_taken;
   }
@@ -212,19 +213,21 @@
   }
 }
 
-void ModelPlacer::noteUnplaced(const wire::HostedService& service, const WantedModel& wanted,
-                               const Placement& placement, TimePoint now) {
-  std::erase_if(noted_, [now](const auto& item) { return now - item.second.at > kNoteInterval; });
-  const bool told = noted_.contains({service.name, wanted.model->name}) || noted_.size() >= kMostNotes;
-  if (told) {
+void ModelPlacer::reportUnplaced(const wire::HostedService& service, const PlacementRequest& request,
+                                 const Placement& placement, TimePoint now) {
+  std::erase_if(unplaced_logged_,
+                [now](const auto& item) { return now - item.second.at > kUnplacedReportInterval; });
+  const bool suppressed = unplaced_logged_.contains({service.name, request.model->name}) ||
+                          unplaced_logged_.size() >= kMaxUnplacedReports;
+  if (suppressed) {
     return;
   }
-  noted_[{service.name, wanted.model->name}] = {now};
+  unplaced_logged_[{service.name, request.model->name}] = {now};
   const StoreLoads& store = storeOf(service.name);
-  const KeyDemand demand = demand_.find({service.name, wanted.model->name, {}});
-  effects_.emplace_back(ModelUnplacedEffect{service.name, wanted.model->name, placement.reason,
-                                            demand.waiting, wanted.urgency, placement.near_replicas,
-                                            store.underWay(), store.width()});
+  const KeyDemand demand = demand_.find({service.name, request.model->name, {}});
+  effects_.emplace_back(ModelUnplacedEffect{service.name, request.model->name, placement.reason,
+                                            demand.waiting, request.urgency, placement.near_replicas,
+                                            store.inFlight(), store.width()});
 }
 
 }  // namespace ferryrock::services
--- a/src/services/model_placer_rules.h
+++ b/src/services/model_placer_rules.h
@@ -9,7 +9,7 @@
 namespace ferryrock::services {
 
 /// Typical time from ordering an unload until the load that needs the memory begins.
-constexpr Duration kRoomTime = std::chrono::milliseconds(200);
+constexpr Duration kUnloadTime = std::chrono::milliseconds(200);
 
 /// A load is late once it has taken kLateFactor times its expected duration plus kLateSlack. The placer then
 /// inspects the replica, and the load no longer counts as a coming copy.
--- a/src/services/nearest_weights.cc
+++ b/src/services/nearest_weights.cc
@@ -33,32 +33,32 @@
 
 Duration NearestWeights::shortestLoad(const ServiceName& service, const wire::HostedModel& model,
                                       TimePoint now) {
-  if (now - refreshed_ >= kRefreshInterval) {
+  if (now - refreshed_at_ >= kRefreshInterval) {
     refresh(now);
   }
-  const auto nearest = nearest_.find({service, model.name});
-  return loadTime(model, nearest == nearest_.end() ? WeightTier::Store : nearest->second);
+  const auto nearest = nearest_tiers_.find({service, model.name});
+  return loadTime(model, nearest == nearest_tiers_.end() ? WeightTier::Store : nearest->second);
 }
 
 void NearestWeights::refresh(TimePoint now) {
-  refreshed_ = now;
-  nearest_.clear();
+  refreshed_at_ = now;
+  nearest_tiers_.clear();
   for (const auto& [id, record] : registry_.replicas()) {
-    ++replicas_passed_;
+    ++replicas_scanned_;
     if (!registry_.takesCalls(record)) {
       continue;
     }
     for (const ModelName& model : record.report.in_memory) {
-      note(record.report, model, WeightTier::Memory);
+      recordTier(record.report, model, WeightTier::Memory);
     }
     for (const ModelName& model : record.report.on_disk) {
-      note(record.report, model, WeightTier::Disk);
+      recordTier(record.report, model, WeightTier::Disk);
     }
   }
 }
 
-void NearestWeights::note(const wire::ReplicaReport& report, const ModelName& model, WeightTier tier) {
-  const auto [known, added] = nearest_.try_emplace({report.service, model}, tier);
+void NearestWeights::recordTier(const wire::ReplicaReport& report, const ModelName& model, WeightTier tier) {
+  const auto [known, added] = nearest_tiers_.try_emplace({report.service, model}, tier);
   known->second = std::min(known->second, tier);
 }
 
--- a/src/services/nearest_weights.h
+++ b/src/services/nearest_weights.h
@@ -29,17 +29,17 @@
   /// Based on reports as of at most one second ago.
   Duration shortestLoad(const ServiceName& service, const wire::HostedModel& model, TimePoint now);
   /// Number of replicas scanned so far.
-  std::uint64_t replicasPassed() const { return replicas_passed_; }
+  std::uint64_t replicasScanned() const { return replicas_scanned_; }
 
  private:
   void refresh(TimePoint now);
-  void note(const wire::ReplicaReport& report, const ModelName& model, WeightTier tier);
+  void recordTier(const wire::ReplicaReport& report, const ModelName& model, WeightTier tier);
 
   const ReplicaRegistry& registry_;
   /// Best tier by model. Models without weights in memory or on disk anywhere have no entry.
-  std::map<std::pair<ServiceName, ModelName>, WeightTier> nearest_;
-  TimePoint refreshed_{};
-  std::uint64_t replicas_passed_ = 0;
+  std::map<std::pair<ServiceName, ModelName>, WeightTier> nearest_tiers_;
+  TimePoint refreshed_at_{};
+  std::uint64_t replicas_scanned_ = 0;
 };
 
 }  // namespace ferryrock::services
--- a/src/services/replica_choice.cc
+++ b/src/services/replica_choice.cc
@@ -13,14 +13,14 @@
 using Ranked = std::pair<std::uint64_t, const IndexedReplica*>;
 
 /// Finalizer of a 64-bit hash: each bit of the input flips half of the bits of the result on average.
-std::uint64_t mixed(std::uint64_t value) {
+std::uint64_t mixBits(std::uint64_t value) {
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
   return value ^ (value >> 31);
 }
 
 /// Keeps the `count` elements of lowest rank.
-void keepFirst(std::vector<Ranked>& ranked, std::size_t count) {
+void keepLowestRanked(std::vector<Ranked>& ranked, std::size_t count) {
   if (ranked.size() > count) {
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
     std::nth_element(ranked.begin(), end, ranked.end());
@@ -41,17 +41,17 @@
       : index_(index), zone_(status.zone), router_hash_(stableHash(status.router.value)) {}
 
   void addGroup(const ModelKey& key) {
-    if (!drawn_.insert(key).second) {
+    if (!added_groups_.insert(key).second) {
       return;
     }
     std::vector<Ranked> own;
     std::vector<Ranked> others;
     for (const IndexedReplica* replica : index_.find(key)) {
-      const std::uint64_t rank = mixed(replica->name_hash ^ router_hash_);
+      const std::uint64_t rank = mixBits(replica->name_hash ^ router_hash_);
       (replica->routed.zone == zone_ ? own : others).emplace_back(rank, replica);
     }
-    keepFirst(others, kMostOfGroup - std::min(own.size(), kMostOfOwnZone));
-    keepFirst(own, kMostOfOwnZone);
+    keepLowestRanked(others, kMostOfGroup - std::min(own.size(), kMaxFromOwnZone));
+    keepLowestRanked(own, kMaxFromOwnZone);
     add(own);
     add(others);
   }
@@ -72,7 +72,7 @@
   const ReplicaIndex& index_;
   ZoneName zone_;
   std::uint64_t router_hash_;
-  std::set<ModelKey> drawn_;
+  std::set<ModelKey> added_groups_;
   std::vector<const IndexedReplica*> chosen_;
 };
 
@@ -92,8 +92,8 @@
       draw.addGroup({interest.service, interest.model, interest.adapter});
     }
   };
-  for (const wire::ModelWant& want : status.wants) {
-    addInterest(want);
+  for (const wire::ModelWant& counts : status.wants) {
+    addInterest(counts);
   }
   for (const wire::ModelInterest& interest : status.interests) {
     addInterest(interest);
--- a/src/services/replica_choice.h
+++ b/src/services/replica_choice.h
@@ -25,7 +25,7 @@
                                             const std::vector<ServiceName>& plain_services) const;
 
   /// Limits for one group, that is the replicas of one service, model or adapter.
-  static constexpr std::size_t kMostOfOwnZone = 6;
+  static constexpr std::size_t kMaxFromOwnZone = 6;
   static constexpr std::size_t kMostOfGroup = 8;
   /// Maximum number of models and adapters looked up for one router.
   static constexpr std::size_t kMostInterests = 128;
--- a/src/services/replica_index.cc
+++ b/src/services/replica_index.cc
@@ -20,7 +20,7 @@
       changes.closed.push_back(id);
     }
     const std::vector<ModelKey> former =
-        known == replicas_.end() ? std::vector<ModelKey>() : leaveGroups(known->second);
+        known == replicas_.end() ? std::vector<ModelKey>() : removeFromGroups(known->second);
     if (record == nullptr) {
       replicas_.erase(id);
       continue;
@@ -54,7 +54,7 @@
 }
 
 /// Removes the replica from its groups and returns them, sorted.
-std::vector<ModelKey> ReplicaIndex::leaveGroups(IndexedReplica& replica) {
+std::vector<ModelKey> ReplicaIndex::removeFromGroups(IndexedReplica& replica) {
   for (const ModelKey& key : replica.keys) {
     const auto found = groups_.find(key);
     Group& group = found->second;
--- a/src/services/replica_index.h
+++ b/src/services/replica_index.h
@@ -45,7 +45,7 @@
   std::size_t size() const { return replicas_.size(); }
 
  private:
-  std::vector<ModelKey> leaveGroups(IndexedReplica& replica);
+  std::vector<ModelKey> removeFromGroups(IndexedReplica& replica);
   static std::vector<ModelKey> keysOf(const wire::RoutedReplica& replica);
 
   std::unordered_map<ReplicaId, IndexedReplica> replicas_;
--- a/src/services/replica_orders.cc
+++ b/src/services/replica_orders.cc
@@ -12,7 +12,7 @@
       return "replica busy";
     case UnplacedReason::NoReplicaReady:
       return "no replica ready";
-    case UnplacedReason::RoomComing:
+    case UnplacedReason::UnloadInProgress:
       return "room coming";
   }
   return "unknown";
--- a/src/services/replica_orders.h
+++ b/src/services/replica_orders.h
@@ -41,10 +41,10 @@
 /// Reason why a requested model got no order.
 enum class UnplacedReason : std::uint8_t {
   None,
-  StoreFull,       ///< the weight store can't take another load now
-  ReplicaBusy,     ///< the best replica with local weights is executing another order
-  NoReplicaReady,  ///< no replica can accept the order now and free enough memory
-  RoomComing,      ///< a replica is unloading another model to make room
+  StoreFull,         ///< the weight store can't take another load now
+  ReplicaBusy,       ///< the best replica with local weights is executing another order
+  NoReplicaReady,    ///< no replica can accept the order now and free enough memory
+  UnloadInProgress,  ///< a replica is unloading another model to make room
 };
 
 /// The text used in logs.
--- a/src/services/store_loads.cc
+++ b/src/services/store_loads.cc
@@ -9,17 +9,17 @@
 namespace {
 
 /// Initial limit of concurrent loads, before any load was timed, whatever their duration.
-constexpr double kFirstWidth = 4;
+constexpr double kInitialWidth = 4;
 /// The operator's rate is enforced over windows of this length, reduced to kRateShare for loads that begin
 /// late.
-constexpr Duration kWindow = std::chrono::seconds(5);
+constexpr Duration kRateWindow = std::chrono::seconds(5);
 constexpr double kRateShare = 0.9;
 /// Typical maximum of two delays together: from the order to the begin of the load, and from its end to the
 /// arrival of the replica's report. Without this allowance, loads of less than a second would appear slow.
 constexpr Duration kReportDelay = std::chrono::milliseconds(400);
 /// Interval between two checks for overdue loads, and the multiple of the nominal duration from which a load
 /// counts as overdue.
-constexpr Duration kLookInterval = std::chrono::milliseconds(500);
+constexpr Duration kOverdueCheckInterval = std::chrono::milliseconds(500);
 constexpr double kLateFactor = 1.35;
 
 Duration scaled(Duration duration, double factor) {
@@ -29,15 +29,15 @@
 }  // namespace
 
 StoreLoads::StoreLoads(bool bounded_by_width)
-    : bounded_by_width_(bounded_by_width), estimator_(TimePoint{}, kFirstWidth) {}
+    : bounded_by_width_(bounded_by_width), estimator_(TimePoint{}, kInitialWidth) {}
 
 bool StoreLoads::mayBegin(double loads_per_second, TimePoint now) {
-  while (!begun_.empty() && now - begun_.front() > kWindow) {
+  while (!begun_.empty() && now - begun_.front() > kRateWindow) {
     begun_.pop_front();
   }
-  const double most = loads_per_second * toSeconds(kWindow) * kRateShare;
-  const bool within_rate = loads_per_second <= 0 || static_cast<double>(begun_.size()) + 1 <= most;
-  return within_rate && (!bounded_by_width_ || estimator_.hasRoom(underWay()));
+  const double max_begun = loads_per_second * toSeconds(kRateWindow) * kRateShare;
+  const bool within_rate = loads_per_second <= 0 || static_cast<double>(begun_.size()) + 1 <= max_begun;
+  return within_rate && (!bounded_by_width_ || estimator_.hasRoom(inFlight()));
 }
 
 void StoreLoads::onBegun(const ReplicaId& replica, Duration nominal, TimePoint now) {
@@ -68,10 +68,10 @@
 /// A single overdue load may be the fault of its replica. If at least two, and at least half of all, are
 /// overdue, the store is treated as slow.
 void StoreLoads::observeOverdue(TimePoint now) {
-  if (now < next_look_) {
+  if (now < next_overdue_check_) {
     return;
   }
-  next_look_ = now + kLookInterval;
+  next_overdue_check_ = now + kOverdueCheckInterval;
   std::vector<placement::TimedLoad> late;
   for (const auto& [replica, load] : loads_) {
     const Duration duration = std::max(Duration::zero(), now - load.begun - kReportDelay);
@@ -116,15 +116,15 @@
 }
 
 double StoreLoads::concurrentSince(const Load& load, TimePoint now) const {
-  const double lasting =
+  const double since_advance =
       toSeconds(std::max(Duration::zero(), now - advanced_)) * static_cast<double>(loads_.size());
   const double passed = toSeconds(now - load.begun);
-  return passed <= 0 ? 1 : (load_seconds_ + lasting - load.load_seconds_before) / passed;
+  return passed <= 0 ? 1 : (load_seconds_ + since_advance - load.load_seconds_before) / passed;
 }
 
 Duration StoreLoads::expected(const Load& load) const {
-  const double crowding = static_cast<double>(loads_.size()) / estimator_.width();
-  return scaled(load.nominal, std::max(1.0, crowding));
+  const double oversubscription = static_cast<double>(loads_.size()) / estimator_.width();
+  return scaled(load.nominal, std::max(1.0, oversubscription));
 }
 
 void StoreLoads::remove(std::map<ReplicaId, Load>::iterator load, TimePoint now) {
--- a/src/services/store_loads.h
+++ b/src/services/store_loads.h
@@ -35,7 +35,7 @@
   /// Drops the loads of replicas for which `kept` returns false.
   void keepIf(const std::function<bool(const ReplicaId&)>& kept, TimePoint now);
 
-  std::uint32_t underWay() const { return static_cast<std::uint32_t>(loads_.size()); }
+  std::uint32_t inFlight() const { return static_cast<std::uint32_t>(loads_.size()); }
   double width() const { return estimator_.width(); }
 
   /// Predicts when queued loads end, if each begins as soon as those ahead of it leave capacity.
@@ -68,7 +68,7 @@
   std::deque<TimePoint> begun_;  ///< begin times within the last window, oldest first
   double load_seconds_ = 0;      ///< time integral of the number of loads in progress
   TimePoint advanced_{};
-  TimePoint next_look_{};
+  TimePoint next_overdue_check_{};
 };
 
 }  // namespace ferryrock::services
--- a/tests/services/nearest_weights_test.cc
+++ b/tests/services/nearest_weights_test.cc
@@ -74,7 +74,7 @@
   for (std::size_t i = 0; i < routers; ++i) {
     REQUIRE(placer.expectedAt(llm, ModelName("m1"), kStart + 1ms * (i % 900)).has_value());
   }
-  return placer.replicasPassedForExpected();
+  return placer.replicasScannedForExpected();
 }
 
 TEST_CASE("A new leader scans the replicas once for the requests of all routers, not once for each") {
--- a/tests/services/replica_choice_test.cc
+++ b/tests/services/replica_choice_test.cc
@@ -53,7 +53,7 @@
     const auto own = std::count_if(chosen.begin(), chosen.end(), [&status](const IndexedReplica* replica) {
       return replica->routed.zone == status.zone;
     });
-    CHECK(own == static_cast<std::ptrdiff_t>(ReplicaChoice::kMostOfOwnZone));
+    CHECK(own == static_cast<std::ptrdiff_t>(ReplicaChoice::kMaxFromOwnZone));
     CHECK(fixture.choice.choose(status, {ServiceName("desk")}) == chosen);
     for (const IndexedReplica* replica : chosen) {
       ++told[replica->routed.id];
--- a/tests/services/store_loads_test.cc
+++ b/tests/services/store_loads_test.cc
@@ -173,7 +173,7 @@
   CHECK(loads.width() == before);
   loads.observeOverdue(kStart + kNominal * 2);
   CHECK(loads.width() < before);
-  CHECK(loads.underWay() == begun);
+  CHECK(loads.inFlight() == begun);
 }
 
 TEST_CASE("A single overdue load among many doesn't lower the estimated width") {
@@ -195,7 +195,7 @@
   const std::size_t begun = beginAll(loads, 0, kStart);
   CHECK_FALSE(loads.mayBegin(0, kStart));
   loads.keepIf([](const ReplicaId& id) { return id == replica(0); }, kStart + 1s);
-  CHECK(loads.underWay() == 1);
+  CHECK(loads.inFlight() == 1);
   CHECK(beginAll(loads, begun, kStart + 1s) == begun - 1);
 }
 
