--- a/tests/services/crash_containment_test.cc
+++ b/tests/services/crash_containment_test.cc
@@ -18,7 +18,7 @@
 
 constexpr wire::CallFingerprint kCrashing{1, 2};
 /// Time within which all routers must know about the quarantine.
-constexpr Duration kKnownEverywhere = 3s;
+constexpr Duration kPropagationLimit = 3s;
 
 TEST_CASE("A call that has crashed three replicas crashes at most one more, whichever router gets it") {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
@@ -30,9 +30,9 @@
     fleet.cluster.runFor(1s);
     fleet.beginCrashingCalls(kCrashing, 300ms, 15s);
     fleet.cluster.runFor(25s);
-    CHECK(fleet.sendingsOf(kCrashing).ends.size() >= 3);
-    CHECK(fleet.sendingsOf(kCrashing).ends.size() <= 4);
-    CHECK(fleet.sendingsAfterThird(kCrashing, kKnownEverywhere) == 0);
+    CHECK(fleet.dispatchesOf(kCrashing).crashes.size() >= 3);
+    CHECK(fleet.dispatchesOf(kCrashing).crashes.size() <= 4);
+    CHECK(fleet.dispatchesAfterThirdCrash(kCrashing, kPropagationLimit) == 0);
     CHECK(fleet.servedShare() >= 0.99);
   }
 }
@@ -78,8 +78,8 @@
       fleet.cluster.runFor(before);
       fault.begin(fleet);
       fleet.cluster.runFor(20s - before);
-      CHECK(fleet.sendingsOf(kCrashing).ends.size() >= 3);
-      CHECK(fleet.sendingsAfterThird(kCrashing, kKnownEverywhere) == 0);
+      CHECK(fleet.dispatchesOf(kCrashing).crashes.size() >= 3);
+      CHECK(fleet.dispatchesAfterThirdCrash(kCrashing, kPropagationLimit) == 0);
     }
   }
 }
@@ -88,23 +88,23 @@
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 5s);
   fleet.cluster.runFor(10s);
-  REQUIRE(fleet.sendingsOf(kCrashing).ends.size() >= 3);
-  const std::size_t ends = fleet.sendingsOf(kCrashing).ends.size();
+  REQUIRE(fleet.dispatchesOf(kCrashing).crashes.size() >= 3);
+  const std::size_t crashes = fleet.dispatchesOf(kCrashing).crashes.size();
   for (RunningRouter* router : fleet.routers) {
     fleet.cluster.restart(*router);
   }
   fleet.cluster.runFor(1s);
   fleet.beginCrashingCalls(kCrashing, 100ms, 5s);
   fleet.cluster.runFor(10s);
-  CHECK(fleet.sendingsOf(kCrashing).ends.size() == ends);
+  CHECK(fleet.dispatchesOf(kCrashing).crashes.size() == crashes);
 }
 
 TEST_CASE("A quarantine survives a power loss of all members and a restart of all routers") {
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 2s);
   fleet.cluster.runFor(8s);
-  const std::size_t ends = fleet.sendingsOf(kCrashing).ends.size();
-  REQUIRE(ends >= 3);
+  const std::size_t crashes = fleet.dispatchesOf(kCrashing).crashes.size();
+  REQUIRE(crashes >= 3);
   for (std::size_t i = 0; i < 3; ++i) {
     fleet.cluster.powerOff(fleet.cluster.member(i));
   }
@@ -117,14 +117,14 @@
   fleet.cluster.runFor(3s);
   fleet.beginCrashingCalls(kCrashing, 300ms, 5s);
   fleet.cluster.runFor(8s);
-  CHECK(fleet.sendingsOf(kCrashing).ends.size() == ends);
+  CHECK(fleet.dispatchesOf(kCrashing).crashes.size() == crashes);
 }
 
 TEST_CASE("A call that an operator releases at any member runs again, also after a power loss") {
   CrashingFleet fleet({});
   fleet.beginCrashingCalls(kCrashing, 300ms, 2s);
   fleet.cluster.runFor(8s);
-  const std::size_t ends = fleet.sendingsOf(kCrashing).ends.size();
+  const std::size_t crashes = fleet.dispatchesOf(kCrashing).crashes.size();
   ServiceMember& member = fleet.cluster.member(&fleet.cluster.member(0) == fleet.cluster.leader() ? 1 : 0);
   REQUIRE(member.control->suspectedCalls(fleet.cluster.now()).size() == 1);
   CHECK(member.control->suspectedCalls(fleet.cluster.now()).front().quarantined);
@@ -141,14 +141,14 @@
   fleet.cluster.runFor(3s);
   fleet.beginCrashingCalls(kCrashing, 300ms, 300ms);
   fleet.cluster.runFor(3s);
-  CHECK(fleet.sendingsOf(kCrashing).ends.size() > ends);
+  CHECK(fleet.dispatchesOf(kCrashing).crashes.size() > crashes);
 }
 
 /// Results of one load, summed over seeds; `served` is averaged.
 struct Outcome {
   double served = 0;
   std::size_t refused = 0;  ///< quarantined calls that crash nothing
-  std::size_t ends = 0;
+  std::size_t crashes = 0;
 };
 
 /// Calls that crash replicas, each begun this long after the previous one.
@@ -159,7 +159,7 @@
   Duration apart;
 };
 
-Outcome play(CrashingFleetSettings settings, const CrashingLoad& load) {
+Outcome runLoad(CrashingFleetSettings settings, const CrashingLoad& load) {
   constexpr std::uint64_t kSeeds = 10;
   settings.replicas = load.replicas;
   Outcome outcome;
@@ -175,29 +175,29 @@
     outcome.served += fleet.servedShare() / kSeeds;
     outcome.refused += fleet.bystandersRefused(ResultCode::CallQuarantined);
     for (std::uint64_t call = 1; call <= load.calls; ++call) {
-      outcome.ends += fleet.sendingsOf({call, call}).ends.size();
+      outcome.crashes += fleet.dispatchesOf({call, call}).crashes.size();
     }
   }
   return outcome;
 }
 
-constexpr CrashingLoad kOneByOne{"12 replicas, 3 calls, 5 s apart", 12, 3, 5s};
-constexpr CrashingLoad kTogether{"40 replicas, 4 calls, 0.3 s apart", 40, 4, 300ms};
+constexpr CrashingLoad kSequential{"12 replicas, 3 calls, 5 s apart", 12, 3, 5s};
+constexpr CrashingLoad kConcurrent{"40 replicas, 4 calls, 0.3 s apart", 40, 4, 300ms};
 /// Up to twelve crashes within three seconds, with each replica down for as long, leave no replica to run
 /// calls on.
 constexpr CrashingLoad kOverwhelming{"12 replicas, 4 calls, 0.7 s apart", 12, 4, 700ms};
 
 TEST_CASE("Other calls are served beside several crashing ones, and hardly any is quarantined") {
-  const std::vector<std::pair<CrashingLoad, Outcome>> kLeast = {
-      {kOneByOne, {0.99, 0, 0}}, {kTogether, {0.99, 0, 0}}, {kOverwhelming, {0.9, 100, 0}}};
-  for (const auto& [load, least] : kLeast) {
+  const std::vector<std::pair<CrashingLoad, Outcome>> kMinResults = {
+      {kSequential, {0.99, 0, 0}}, {kConcurrent, {0.99, 0, 0}}, {kOverwhelming, {0.9, 100, 0}}};
+  for (const auto& [load, minimum] : kMinResults) {
     INFO(load.name);
     CrashingFleetSettings settings;
     settings.work = 1s;
-    const Outcome outcome = play(settings, load);
-    CAPTURE(outcome.served, outcome.refused, outcome.ends);
-    CHECK(outcome.served >= least.served);
-    CHECK(outcome.refused <= least.refused);
+    const Outcome outcome = runLoad(settings, load);
+    CAPTURE(outcome.served, outcome.refused, outcome.crashes);
+    CHECK(outcome.served >= minimum.served);
+    CHECK(outcome.refused <= minimum.refused);
   }
 }
 
--- a/tests/services/crashing_fleet.cc
+++ b/tests/services/crashing_fleet.cc
@@ -8,10 +8,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHop = 1ms;
+constexpr Duration kNetworkDelay = 1ms;
 constexpr Duration kHeartbeat = 1s;
-constexpr Duration kCallerPause = 100ms;
-constexpr Duration kCallerLimit = 5s;
+constexpr Duration kCallerRetryDelay = 100ms;
+constexpr Duration kCallerTimeout = 5s;
 
 wire::ServiceCatalog plainCatalog(std::uint32_t max_attempts) {
   wire::ServiceCatalog catalog = makeCatalog(1);
@@ -40,12 +40,12 @@
     replica->address = "10.1.0." + std::to_string(i) + ":80";
     replica->id = ReplicaId("r" + std::to_string(i) + "-0");
     replicas_.push_back(std::move(replica));
-    beat(*replicas_.back());
+    reportPeriodically(*replicas_.back());
   }
   cluster.runFor(2s);
 }
 
-void CrashingFleet::beat(Replica& replica) {
+void CrashingFleet::reportPeriodically(Replica& replica) {
   if (replica.up) {
     if (ServiceMember* leader = cluster.leader()) {
       wire::ReplicaReport report = makeReport(replica.id.value, "desk", ++replica.sequence);
@@ -54,25 +54,25 @@
       cluster.report(*leader, report);
     }
   }
-  cluster.schedule(kHeartbeat, [this, &replica] { beat(replica); });
+  cluster.schedule(kHeartbeat, [this, &replica] { reportPeriodically(replica); });
 }
 
-CrashingFleet::Replica* CrashingFleet::at(const std::string& address) {
+CrashingFleet::Replica* CrashingFleet::replicaAt(const std::string& address) {
   const auto found = std::find_if(replicas_.begin(), replicas_.end(),
                                   [&](const auto& replica) { return replica->address == address; });
   return found == replicas_.end() ? nullptr : found->get();
 }
 
-void CrashingFleet::come(const wire::CallFingerprint& fingerprint, CallerRecord& caller,
-                         std::size_t tries_left) {
+void CrashingFleet::submit(const wire::CallFingerprint& fingerprint, CallerRecord& caller,
+                           std::size_t tries_left) {
   RunningRouter& router = *routers[random_.below(routers.size())];
-  ++caller.comings;
+  ++caller.submissions;
   calls::CallRequest request;
   request.number = calls::CallNumber{++router.calls};
   request.id = RequestId("call-" + std::to_string(router.calls));
   request.host = "example";
   request.path = "/desk/x";
-  request.time_limit = kCallerLimit;
+  request.time_limit = kCallerTimeout;
   request.fingerprint = fingerprint;
   open_[{router.node, request.number}] = {&caller, fingerprint, tries_left};
   cluster.actRouter(router, [request](calls::CallRouter& logic, TimePoint now) mutable {
@@ -82,9 +82,9 @@
 
 void CrashingFleet::beginCrashingCalls(const wire::CallFingerprint& fingerprint, Duration interval,
                                        Duration for_time) {
-  crashes_.insert(fingerprint);
+  crashing_calls_.insert(fingerprint);
   crashing_.push_back(std::make_unique<CallerRecord>());
-  come(fingerprint, *crashing_.back(), 0);
+  submit(fingerprint, *crashing_.back(), 0);
   if (for_time > interval) {
     cluster.schedule(interval, [this, fingerprint, interval, for_time] {
       beginCrashingCalls(fingerprint, interval, for_time - interval);
@@ -94,7 +94,7 @@
 
 void CrashingFleet::beginBystanders(Duration interval, Duration for_time, std::size_t tries) {
   bystanders_.push_back(std::make_unique<CallerRecord>());
-  come({7, next_bystander_++}, *bystanders_.back(), tries - 1);
+  submit({7, next_bystander_++}, *bystanders_.back(), tries - 1);
   if (for_time > interval) {
     cluster.schedule(interval, [this, interval, for_time, tries] {
       beginBystanders(interval, for_time - interval, tries);
@@ -105,7 +105,7 @@
 void CrashingFleet::beginSameCalls(const wire::CallFingerprint& fingerprint, Duration interval,
                                    Duration for_time) {
   same_.push_back(std::make_unique<CallerRecord>());
-  come(fingerprint, *same_.back(), 1);
+  submit(fingerprint, *same_.back(), 1);
   if (for_time > interval) {
     cluster.schedule(interval, [this, fingerprint, interval, for_time] {
       beginSameCalls(fingerprint, interval, for_time - interval);
@@ -137,16 +137,16 @@
   caller.retry_after.push_back(refusal.retry_after);
   caller.given_up = call.tries_left == 0;
   if (call.tries_left > 0) {
-    cluster.schedule(refusal.retry_after.value_or(kCallerPause),
-                     [this, call] { come(call.fingerprint, *call.caller, call.tries_left - 1); });
+    cluster.schedule(refusal.retry_after.value_or(kCallerRetryDelay),
+                     [this, call] { submit(call.fingerprint, *call.caller, call.tries_left - 1); });
   }
 }
 
 void CrashingFleet::onSend(RunningRouter& router, const calls::SendAttemptEffect& send) {
   const wire::CallFingerprint fingerprint = open_.at({router.node, send.call}).fingerprint;
   const RunningCall call{&router, send.attempt, fingerprint};
-  cluster.schedule(kHop, [this, call, address = send.address, id = send.replica] {
-    Replica* replica = at(address);
+  cluster.schedule(kNetworkDelay, [this, call, address = send.address, id = send.replica] {
+    Replica* replica = replicaAt(address);
     if (replica == nullptr || !replica->up || replica->id != id) {
       const bool other = replica != nullptr && replica->up;
       cluster.actRouter(*call.router, [call, other](calls::CallRouter& logic, TimePoint now) {
@@ -155,19 +155,21 @@
       });
       return;
     }
-    sendings_[call.fingerprint].sendings.push_back(cluster.now());
+    dispatches_[call.fingerprint].dispatches.push_back(cluster.now());
     replica->running.push_back(call);
-    const bool crashes = crashes_.contains(call.fingerprint);
-    cluster.schedule(crashes ? settings_.until_crash : settings_.work,
-                     [this, call, replica, life = replica->lives] { finishCall(*replica, life, call); });
+    const bool is_crashing = crashing_calls_.contains(call.fingerprint);
+    cluster.schedule(is_crashing ? settings_.until_crash : settings_.work,
+                     [this, call, replica, expected_incarnation = replica->incarnation] {
+                       finishCall(*replica, expected_incarnation, call);
+                     });
   });
 }
 
 void CrashingFleet::onProbe(RunningRouter& router, const calls::ProbeReplicaEffect& probe) {
-  cluster.schedule(2 * kHop, [this, &router, probe] {
-    const Replica* replica = at(probe.address);
-    const bool lives = replica != nullptr && replica->up && replica->id == probe.replica;
-    const auto outcome = lives ? calls::ProbeOutcome::Lives : calls::ProbeOutcome::Ended;
+  cluster.schedule(2 * kNetworkDelay, [this, &router, probe] {
+    const Replica* replica = replicaAt(probe.address);
+    const bool alive = replica != nullptr && replica->up && replica->id == probe.replica;
+    const auto outcome = alive ? calls::ProbeOutcome::Lives : calls::ProbeOutcome::Ended;
     cluster.actRouter(router, [replica = probe.replica, outcome](calls::CallRouter& logic, TimePoint now) {
       return logic.onProbed(replica, outcome, now);
     });
@@ -181,20 +183,21 @@
   }
 }
 
-void CrashingFleet::finishCall(Replica& replica, std::uint64_t life, const RunningCall& call) {
+void CrashingFleet::finishCall(Replica& replica, std::uint64_t expected_incarnation,
+                               const RunningCall& call) {
   const auto place = std::find_if(
       replica.running.begin(), replica.running.end(),
       [&](const RunningCall& one) { return one.router == call.router && one.attempt == call.attempt; });
-  if (replica.lives != life || place == replica.running.end()) {
+  if (replica.incarnation != expected_incarnation || place == replica.running.end()) {
     return;
   }
-  if (crashes_.contains(call.fingerprint)) {
-    sendings_[call.fingerprint].ends.push_back(cluster.now());
+  if (crashing_calls_.contains(call.fingerprint)) {
+    dispatches_[call.fingerprint].crashes.push_back(cluster.now());
     crash(replica);
     return;
   }
   replica.running.erase(place);
-  cluster.schedule(kHop, [this, call] {
+  cluster.schedule(kNetworkDelay, [this, call] {
     cluster.actRouter(*call.router, [call](calls::CallRouter& logic, TimePoint now) {
       return logic.onAnswer(call.attempt, {200, false}, now);
     });
@@ -203,18 +206,18 @@
 
 void CrashingFleet::crash(Replica& replica) {
   replica.up = false;
-  ++replica.lives;
+  ++replica.incarnation;
   breakCalls(replica);
-  cluster.schedule(settings_.down_for, [&replica, lives = replica.lives] {
+  cluster.schedule(settings_.down_for, [&replica, incarnation = replica.incarnation] {
     replica.id =
-        ReplicaId(replica.id.value.substr(0, replica.id.value.find('-')) + "-" + std::to_string(lives));
+        ReplicaId(replica.id.value.substr(0, replica.id.value.find('-')) + "-" + std::to_string(incarnation));
     replica.up = true;
   });
 }
 
 void CrashingFleet::breakCalls(Replica& replica) {
   for (const RunningCall& call : std::exchange(replica.running, {})) {
-    cluster.schedule(kHop, [this, call] {
+    cluster.schedule(kNetworkDelay, [this, call] {
       cluster.actRouter(*call.router, [call](calls::CallRouter& logic, TimePoint now) {
         return logic.onFailure(call.attempt, calls::AttemptFailure::Unproved, "connection ended", now);
       });
@@ -232,17 +235,17 @@
   breakCalls(*replicas_.at(replica));
 }
 
-std::size_t CrashingFleet::sendingsAfterThird(const wire::CallFingerprint& fingerprint,
-                                              Duration after) const {
+std::size_t CrashingFleet::dispatchesAfterThirdCrash(const wire::CallFingerprint& fingerprint,
+                                                     Duration after) const {
   constexpr std::size_t kThird = 3;
-  const auto found = sendings_.find(fingerprint);
-  if (found == sendings_.end() || found->second.ends.size() < kThird) {
+  const auto found = dispatches_.find(fingerprint);
+  if (found == dispatches_.end() || found->second.crashes.size() < kThird) {
     return 0;
   }
-  const TimePoint from = found->second.ends[kThird - 1] + after;
-  const std::vector<TimePoint>& sendings = found->second.sendings;
+  const TimePoint from = found->second.crashes[kThird - 1] + after;
+  const std::vector<TimePoint>& dispatches = found->second.dispatches;
   return static_cast<std::size_t>(
-      std::count_if(sendings.begin(), sendings.end(), [from](TimePoint time) { return time > from; }));
+      std::count_if(dispatches.begin(), dispatches.end(), [from](TimePoint time) { return time > from; }));
 }
 
 double CrashingFleet::servedShare() const {
--- a/tests/services/crashing_fleet.h
+++ b/tests/services/crashing_fleet.h
@@ -27,7 +27,7 @@
 /// Outcome of the calls of one caller. After a refusal or a failure, the caller resends its call to a random
 /// router while it has tries left.
 struct CallerRecord {
-  std::size_t comings = 0;
+  std::size_t submissions = 0;
   bool answered = false;
   bool given_up = false;
   std::vector<ResultCode> refusals;
@@ -36,9 +36,9 @@
 };
 
 /// Executions of one call on replicas, over all submissions of the call.
-struct SendingRecord {
-  std::vector<TimePoint> sendings;
-  std::vector<TimePoint> ends;  ///< crashes of replicas that the call caused
+struct DispatchRecord {
+  std::vector<TimePoint> dispatches;
+  std::vector<TimePoint> crashes;  ///< crashes of replicas that the call caused
 };
 
 class CrashingFleet {
@@ -59,8 +59,10 @@
 
   /// Number of times that the call was sent to a replica later than `after` past the third crash that it
   /// caused.
-  std::size_t sendingsAfterThird(const wire::CallFingerprint& fingerprint, Duration after) const;
-  const SendingRecord& sendingsOf(const wire::CallFingerprint& fingerprint) { return sendings_[fingerprint]; }
+  std::size_t dispatchesAfterThirdCrash(const wire::CallFingerprint& fingerprint, Duration after) const;
+  const DispatchRecord& dispatchesOf(const wire::CallFingerprint& fingerprint) {
+    return dispatches_[fingerprint];
+  }
   /// Share of the bystanders that got an answer.
   double servedShare() const;
   const std::vector<std::unique_ptr<CallerRecord>>& bystanders() const { return bystanders_; }
@@ -81,7 +83,7 @@
   struct Replica {
     std::string address;
     ReplicaId id;
-    std::uint64_t lives = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     bool up = true;
     std::vector<RunningCall> running;
@@ -93,23 +95,23 @@
   };
   using CallKey = std::pair<NodeName, calls::CallNumber>;
 
-  void come(const wire::CallFingerprint& fingerprint, CallerRecord& caller, std::size_t tries_left);
+  void submit(const wire::CallFingerprint& fingerprint, CallerRecord& caller, std::size_t tries_left);
   void onEffect(RunningRouter& router, const calls::Effect& effect);
   void onSend(RunningRouter& router, const calls::SendAttemptEffect& send);
   void onCancel(RunningRouter& router, calls::AttemptNumber attempt);
   void onProbe(RunningRouter& router, const calls::ProbeReplicaEffect& probe);
   void onRefusal(const OpenCall& call, const calls::RefuseCallEffect& refusal);
-  void finishCall(Replica& replica, std::uint64_t life, const RunningCall& call);
+  void finishCall(Replica& replica, std::uint64_t expected_incarnation, const RunningCall& call);
   void crash(Replica& replica);
   void breakCalls(Replica& replica);
-  void beat(Replica& replica);
-  Replica* at(const std::string& address);
+  void reportPeriodically(Replica& replica);
+  Replica* replicaAt(const std::string& address);
 
   CrashingFleetSettings settings_;
   Random random_;
   std::vector<std::unique_ptr<Replica>> replicas_;
-  std::set<wire::CallFingerprint> crashes_;
-  std::map<wire::CallFingerprint, SendingRecord> sendings_;
+  std::set<wire::CallFingerprint> crashing_calls_;
+  std::map<wire::CallFingerprint, DispatchRecord> dispatches_;
   std::map<CallKey, OpenCall> open_;
   std::vector<std::unique_ptr<CallerRecord>> bystanders_;
   std::vector<std::unique_ptr<CallerRecord>> crashing_;
--- a/tests/services/evacuation_test.cc
+++ b/tests/services/evacuation_test.cc
@@ -11,14 +11,14 @@
 using namespace std::chrono_literals;
 
 /// Maximum time until connected routers apply an evacuation.
-constexpr Duration kInForce = 2500ms;
+constexpr Duration kMaxPropagationDelay = 2500ms;
 
 struct ZonedFleet {
   explicit ZonedFleet(std::uint64_t seed = 7, std::size_t members = 3, std::uint32_t losses = 1)
       : cluster(members, losses, seed), router(cluster.addRouter("edge-1")) {
     REQUIRE(cluster.runUntil([this] { return cluster.leader() != nullptr; }));
     REQUIRE(cluster.replaceAcknowledged(1));
-    beat();
+    reportPeriodically();
     cluster.runFor(500ms);
     REQUIRE(open("a1"));
     REQUIRE(open("b1"));
@@ -29,7 +29,7 @@
     return report;
   }
   /// All replicas report to the leader each second.
-  void beat() {
+  void reportPeriodically() {
     ++sequence;
     if (ServiceMember* leader = cluster.leader()) {
       for (const char* id : {"a1", "a2", "b1", "b2"}) {
@@ -38,7 +38,7 @@
         cluster.report(*leader, report);
       }
     }
-    cluster.schedule(1s, [this] { beat(); });
+    cluster.schedule(1s, [this] { reportPeriodically(); });
   }
   bool open(const std::string& id) const {
     const auto found = router.replicas.find(ReplicaId(id));
@@ -52,7 +52,7 @@
 TEST_CASE("An evacuation closes the zone's present and later replicas at routers, and its stop opens them") {
   ZonedFleet fleet;
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", true));
-  fleet.cluster.runFor(kInForce);
+  fleet.cluster.runFor(kMaxPropagationDelay);
   CHECK_FALSE(fleet.open("a1"));
   CHECK_FALSE(fleet.open("a2"));
   CHECK(fleet.open("b1"));
@@ -61,7 +61,7 @@
   REQUIRE(fleet.router.replicas.contains(ReplicaId("a3")));
   CHECK_FALSE(fleet.open("a3"));
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", false));
-  fleet.cluster.runFor(kInForce);
+  fleet.cluster.runFor(kMaxPropagationDelay);
   CHECK(fleet.open("a1"));
   CHECK(fleet.open("a2"));
 }
@@ -91,7 +91,7 @@
     for (const Step& step : one.steps) {
       REQUIRE(fleet.cluster.evacuateAcknowledged(step.zone, step.evacuated));
     }
-    fleet.cluster.runFor(kInForce);
+    fleet.cluster.runFor(kMaxPropagationDelay);
     CHECK(fleet.open("a1") == one.a_open);
     CHECK(fleet.open("b1") == one.b_open);
   }
--- a/tests/services/fleet_load_test.cc
+++ b/tests/services/fleet_load_test.cc
@@ -14,10 +14,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHop = 1ms;
-constexpr Duration kFirstEvent = 20ms;
-constexpr Duration kQuickPause = 30ms;
-constexpr Duration kSlowPause = 66ms;
+constexpr Duration kNetworkDelay = 1ms;
+constexpr Duration kFirstEventDelay = 20ms;
+constexpr Duration kQuickGap = 30ms;
+constexpr Duration kSlowGap = 66ms;
 constexpr int kEvents = 20;
 
 /// One quick and two slow replicas of one model, six routers, and streams that arrive at random routers.
@@ -43,16 +43,16 @@
     REQUIRE(cluster.replaceAcknowledged(catalog));
     for (const char* name : {"quick", "slow-1", "slow-2"}) {
       starts_[name] = 1000;
-      beat(name, 1);
+      reportPeriodically(name, 1);
     }
     cluster.runFor(2s);
-    arrive();
+    submitCalls();
   }
 
   /// Restarts the replica, which then is as quick as the quick one.
-  void startAgainQuick(const std::string& name) {
+  void restartAsQuick(const std::string& name) {
     starts_[name] += 1000;
-    quick_again_ = name;
+    restarted_quick_ = name;
   }
   /// Share of the streams started within the next `time` that went to the quick replica.
   double quickShare(Duration time) {
@@ -80,7 +80,7 @@
   std::size_t ended = 0;
 
  private:
-  void beat(const std::string& name, std::uint64_t sequence) {
+  void reportPeriodically(const std::string& name, std::uint64_t sequence) {
     for (std::size_t i = 0; i < 3; ++i) {
       if (cluster.member(i).control) {
         wire::ReplicaReport report = makeReport(name, "llm", sequence);
@@ -90,9 +90,9 @@
         cluster.report(cluster.member(i), report);
       }
     }
-    cluster.schedule(500ms, [this, name, sequence] { beat(name, sequence + 1); });
+    cluster.schedule(500ms, [this, name, sequence] { reportPeriodically(name, sequence + 1); });
   }
-  void arrive() {
+  void submitCalls() {
     RunningRouter& router = *routers[random_.below(routers.size())];
     calls::CallRequest request;
     request.number = calls::CallNumber{++router.calls};
@@ -104,7 +104,7 @@
     cluster.actRouter(router, [request](calls::CallRouter& logic, TimePoint now) mutable {
       return logic.onCall(std::move(request), now);
     });
-    cluster.schedule(40ms, [this] { arrive(); });
+    cluster.schedule(40ms, [this] { submitCalls(); });
   }
   void onEffect(RunningRouter& router, const calls::Effect& effect) {
     refused += std::holds_alternative<calls::RefuseCallEffect>(effect) ? 1 : 0;
@@ -112,19 +112,18 @@
     if (const auto* send = std::get_if<calls::SendAttemptEffect>(&effect)) {
       const std::string name = wire::replicaName(send->replica);
       ++sent_[name];
-      const bool quick = name == "quick" || name == quick_again_;
-      event(router, send->attempt, 1, quick ? kQuickPause : kSlowPause, kHop + kFirstEvent);
+      const bool quick = name == "quick" || name == restarted_quick_;
+      event(router, send->attempt, 1, quick ? kQuickGap : kSlowGap, kNetworkDelay + kFirstEventDelay);
     }
   }
-  void event(RunningRouter& router, calls::AttemptNumber attempt, int number, Duration pause,
-             Duration delay) {
-    cluster.schedule(delay, [this, &router, attempt, number, pause] {
+  void event(RunningRouter& router, calls::AttemptNumber attempt, int number, Duration gap, Duration delay) {
+    cluster.schedule(delay, [this, &router, attempt, number, gap] {
       cluster.actRouter(router, [attempt, number](calls::CallRouter& logic, TimePoint now) {
         return number > kEvents ? logic.onStreamEnd(attempt, now)
                                 : logic.onStreamEvent(attempt, static_cast<std::uint64_t>(number), "x", now);
       });
       if (number <= kEvents) {
-        event(router, attempt, number + 1, pause, pause);
+        event(router, attempt, number + 1, gap, gap);
       }
     });
   }
@@ -132,16 +131,16 @@
   Random random_;
   std::map<std::string, std::uint64_t> starts_;
   std::map<std::string, std::size_t> sent_;
-  std::string quick_again_;
+  std::string restarted_quick_;
 };
 
-constexpr double kMostlyQuick = 0.6;
+constexpr double kMinQuickShare = 0.6;
 
 TEST_CASE("Routers that each see few streams learn together which replica is quick") {
   const auto seed = GENERATE(range<std::uint64_t>(1, 5));
   UnevenFleet fleet(seed);
   fleet.cluster.runFor(10s);
-  CHECK(fleet.quickShare(10s) >= kMostlyQuick);
+  CHECK(fleet.quickShare(10s) >= kMinQuickShare);
   CHECK(fleet.balanced() > 100);
   CHECK(fleet.refused == 0);
   // The slow replicas still get the calls that would have to wait at the quick one.
@@ -151,8 +150,8 @@
 TEST_CASE("Calls are served while a failure stops load updates, and balancing resumes afterwards") {
   struct Fault {
     const char* name;
-    std::function<void(UnevenFleet&)> strike;
-    std::function<void(UnevenFleet&)> mend;
+    std::function<void(UnevenFleet&)> inject;
+    std::function<void(UnevenFleet&)> recover;
   };
   const std::vector<Fault> faults = {
       {"leader killed", [](UnevenFleet& fleet) { fleet.cluster.kill(*fleet.cluster.leader()); },
@@ -179,16 +178,16 @@
     UnevenFleet fleet(3);
     fleet.cluster.runFor(10s);
     const std::size_t ended = fleet.ended;
-    fault.strike(fleet);
+    fault.inject(fleet);
     fleet.cluster.runFor(5s);
     CHECK(fleet.refused == 0);
     CHECK(fleet.ended > ended + 80);
     const std::size_t cut_off = fleet.routers[0]->log.balanced;
-    fault.mend(fleet);
+    fault.recover(fleet);
     fleet.cluster.runFor(20s);
     CHECK(fleet.refused == 0);
     CHECK(fleet.routers[0]->log.balanced > cut_off);
-    CHECK(fleet.quickShare(10s) >= kMostlyQuick);
+    CHECK(fleet.quickShare(10s) >= kMinQuickShare);
   }
 }
 
@@ -229,9 +228,9 @@
       }
     }
     cluster.runFor(4s);
-    const std::size_t before = cluster.loads_told;
+    const std::size_t before = cluster.load_updates_sent;
     cluster.runFor(4s);
-    return cluster.loads_told - before;
+    return cluster.load_updates_sent - before;
   };
   CHECK(serve(100) == 0);
   CHECK(serve(20) > 200);
@@ -240,7 +239,7 @@
 TEST_CASE("A slow replica isn't treated as slow after it restarts") {
   UnevenFleet fleet(4);
   fleet.cluster.runFor(10s);
-  fleet.startAgainQuick("slow-1");
+  fleet.restartAsQuick("slow-1");
   fleet.cluster.runFor(2s);
   const std::size_t before = fleet.sentTo("slow-1");
   const std::size_t other = fleet.sentTo("slow-2");
--- a/tests/services/model_placer_store_test.cc
+++ b/tests/services/model_placer_store_test.cc
@@ -29,8 +29,8 @@
   std::set<ModelName> held;
   std::vector<ModelName> on_disk;
   std::optional<ModelName> loading;
-  double left_ms = 0;
-  bool mute = false;  ///< answers neither orders nor inspections
+  double remaining_ms = 0;
+  bool unresponsive = false;  ///< answers neither orders nor inspections
 };
 
 wire::ServiceCatalog manyModels(int models) {
@@ -57,9 +57,9 @@
 
 /// Replicas that load from one weight store: if more than `width` loads run at once, all share the speed of
 /// the store.
-class StoreWorld {
+class StoreSimulation {
  public:
-  StoreWorld(std::size_t replicas, int models, std::size_t width)
+  StoreSimulation(std::size_t replicas, int models, std::size_t width)
       : catalog_(manyModels(models)), width_(width), placer_(settings(), registry_, demand_) {
     for (std::size_t i = 0; i < replicas; ++i) {
       StoreReplica replica;
@@ -70,15 +70,15 @@
   }
 
   /// One call waits for each of these models until a replica holds it.
-  void wantAll(int first, int last) {
+  void requestModels(int first, int last) {
     for (int i = first; i <= last; ++i) {
-      wanted_.insert(ModelName("m" + std::to_string(i)));
+      requested_.insert(ModelName("m" + std::to_string(i)));
     }
   }
 
   /// This number of calls runs on a model that a replica holds.
-  void crowd(const std::string& model, std::uint32_t running = 40) {
-    crowded_ = ModelName(model);
+  void setRunningCalls(const std::string& model, std::uint32_t running = 40) {
+    busy_model_ = ModelName(model);
     running_ = running;
   }
 
@@ -88,7 +88,7 @@
       demand_.fade(now);
       handle(placer_.plan(catalog_, {}, now));
       advance();
-      most_under_way = std::max(most_under_way, loadsUnderWay());
+      max_loads_in_flight = std::max(max_loads_in_flight, loadsInFlight());
     }
   }
 
@@ -103,7 +103,7 @@
     }
     return held.size();
   }
-  std::size_t loadsUnderWay() const {
+  std::size_t loadsInFlight() const {
     return static_cast<std::size_t>(std::count_if(
         replicas_.begin(), replicas_.end(), [](const auto& replica) { return replica.loading.has_value(); }));
   }
@@ -114,18 +114,18 @@
                          [](const auto& service) { return service.engine.has_value(); });
   }
   void report(StoreReplica& replica) {
-    wire::ReplicaReport told = makeReport(replica.id.value, "llm", ++replica.sequence);
+    wire::ReplicaReport message = makeReport(replica.id.value, "llm", ++replica.sequence);
     for (const ModelName& model : replica.held) {
-      told.held.push_back({model, {}});
+      message.held.push_back({model, {}});
     }
-    told.on_disk = replica.on_disk;
-    registry_.accept(told, now);
+    message.on_disk = replica.on_disk;
+    registry_.accept(message, now);
   }
 
   TimePoint now{1000s};
-  std::size_t most_under_way = 0;
-  std::size_t unplaced_notes = 0;
-  std::size_t orders_lost = 0;  ///< number of next orders to drop
+  std::size_t max_loads_in_flight = 0;
+  std::size_t unplaced_reports = 0;
+  std::size_t orders_to_drop = 0;  ///< number of next orders to drop
 
  private:
   static ModelPlacerSettings settings() {
@@ -136,23 +136,23 @@
   }
   std::vector<wire::ModelWant> wants() {
     std::vector<wire::ModelWant> wants;
-    for (const ModelName& model : wanted_) {
+    for (const ModelName& model : requested_) {
       if (!held(model.value)) {
-        const std::uint32_t arrivals = counted_.insert(model).second ? 1 : 0;
+        const std::uint32_t arrivals = counted_arrivals_.insert(model).second ? 1 : 0;
         wants.push_back({ServiceName("llm"), model, "", 1, 0, arrivals});
       }
     }
-    if (crowded_) {
-      wants.push_back({ServiceName("llm"), *crowded_, "", 0, running_, 1});
+    if (busy_model_) {
+      wants.push_back({ServiceName("llm"), *busy_model_, "", 0, running_, 1});
     }
     return wants;
   }
   StoreReplica& find(const ReplicaId& id) {
     return *std::find_if(replicas_.begin(), replicas_.end(), [&id](const auto& r) { return r.id == id; });
   }
-  OrderOutcome take(StoreReplica& replica, const OrderReplicaEffect& order) {
-    if (replica.mute || orders_lost > 0) {
-      orders_lost -= orders_lost > 0 ? 1 : 0;
+  OrderOutcome execute(StoreReplica& replica, const OrderReplicaEffect& order) {
+    if (replica.unresponsive || orders_to_drop > 0) {
+      orders_to_drop -= orders_to_drop > 0 ? 1 : 0;
       return OrderOutcome::Unanswered;
     }
     if (replica.loading || order.expected != replica.orders_taken) {
@@ -164,9 +164,9 @@
       report(replica);
       return OrderOutcome::Taken;
     }
-    const bool near = std::count(replica.on_disk.begin(), replica.on_disk.end(), order.model) > 0;
+    const bool on_local_disk = std::count(replica.on_disk.begin(), replica.on_disk.end(), order.model) > 0;
     replica.loading = order.model;
-    replica.left_ms = static_cast<double>(near ? kDiskLoadMs : kStoreLoadMs);
+    replica.remaining_ms = static_cast<double>(on_local_disk ? kDiskLoadMs : kStoreLoadMs);
     return OrderOutcome::Taken;
   }
   void handle(const PlacerEffects& effects) {
@@ -179,11 +179,12 @@
         for (const ModelName& model : replica.held) {
           state.held.push_back({model, {}});
         }
-        placer_.onInspected(inspection->number, replica.mute ? std::nullopt : std::optional(state), now);
+        placer_.onInspected(inspection->number, replica.unresponsive ? std::nullopt : std::optional(state),
+                            now);
       } else if (const auto* order = std::get_if<OrderReplicaEffect>(&effect)) {
-        placer_.onOrderDone(order->number, take(find(order->replica), *order), now);
+        placer_.onOrderDone(order->number, execute(find(order->replica), *order), now);
       } else {
-        ++unplaced_notes;
+        ++unplaced_reports;
       }
     }
   }
@@ -201,8 +202,8 @@
       if (!replica.loading) {
         continue;
       }
-      replica.left_ms -= static_cast<double>(toMilliseconds(kStep)) * (fromStore(replica) ? share : 1);
-      if (replica.left_ms <= 0) {
+      replica.remaining_ms -= static_cast<double>(toMilliseconds(kStep)) * (fromStore(replica) ? share : 1);
+      if (replica.remaining_ms <= 0) {
         replica.held.insert(*replica.loading);
         replica.on_disk.push_back(*replica.loading);
         replica.loading.reset();
@@ -217,19 +218,19 @@
   ModelDemand demand_;
   ModelPlacer placer_;
   std::vector<StoreReplica> replicas_;
-  std::set<ModelName> wanted_;
-  std::set<ModelName> counted_;  ///< models whose calls have been counted as arrivals
-  std::optional<ModelName> crowded_;
+  std::set<ModelName> requested_;
+  std::set<ModelName> counted_arrivals_;  ///< models whose calls have been counted as arrivals
+  std::optional<ModelName> busy_model_;
   std::uint32_t running_ = 0;
 };
 
 /// A store of width 4 delivers one model per second at loads of 4 s. Starting all loads at once would make
 /// each take as long as all together.
 TEST_CASE("Many missing models load at the full rate of a narrow store, without oversubscribing it") {
-  StoreWorld world(40, 60, 4);
-  world.wantAll(0, 59);
+  StoreSimulation world(40, 60, 4);
+  world.requestModels(0, 59);
   world.run(12s);
-  CHECK(world.most_under_way <= 9);
+  CHECK(world.max_loads_in_flight <= 9);
   CHECK(world.heldCount() >= 7);
   world.run(24s);
   CHECK(world.heldCount() >= 28);
@@ -237,14 +238,14 @@
 
 /// Unloading the spare copy would have to wait for its running call.
 TEST_CASE("An idle model is evicted before a spare copy that has running calls") {
-  StoreWorld world(2, 20, 4);
+  StoreSimulation world(2, 20, 4);
   world.replicas()[0].held = {ModelName("m1"), ModelName("m5")};
   world.replicas()[1].held = {ModelName("m2"), ModelName("m5")};
   for (StoreReplica& replica : world.replicas()) {
     world.report(replica);
   }
-  world.crowd("m5", 1);
-  world.wantAll(9, 9);
+  world.setRunningCalls("m5", 1);
+  world.requestModels(9, 9);
   world.run(1s);
   CHECK(world.held("m1") != world.held("m2"));
   CHECK(world.replicas()[0].held.contains(ModelName("m5")));
@@ -252,20 +253,20 @@
 }
 
 TEST_CASE("The capacity of a wide store is used after a few loads") {
-  StoreWorld world(60, 100, 60);
-  world.wantAll(0, 99);
+  StoreSimulation world(60, 100, 60);
+  world.requestModels(0, 99);
   world.run(40s);
   CHECK(world.heldCount() >= 80);
 }
 
 /// A store that slows down during a load makes the load exceed any fixed time limit.
 TEST_CASE("An overdue load isn't ordered again while its replica is still executing it") {
-  StoreWorld world(1, 2, 1);
+  StoreSimulation world(1, 2, 1);
   world.replicas()[0].orders_taken = 7;
-  world.wantAll(0, 0);
+  world.requestModels(0, 0);
   world.run(100ms);
   REQUIRE(world.replicas()[0].loading == ModelName("m0"));
-  world.replicas()[0].left_ms = 40'000;
+  world.replicas()[0].remaining_ms = 40'000;
   world.run(39s);
   CHECK(world.replicas()[0].orders_taken == 8);
   world.run(2s);
@@ -274,11 +275,11 @@
 
 /// As long as a model is missing and some replica can load it, orders are sent.
 TEST_CASE("Replicas that don't answer don't delay the loading of models elsewhere") {
-  StoreWorld world(12, 8, 12);
+  StoreSimulation world(12, 8, 12);
   for (std::size_t i = 0; i < 8; ++i) {
-    world.replicas()[i].mute = true;
+    world.replicas()[i].unresponsive = true;
   }
-  world.wantAll(0, 7);
+  world.requestModels(0, 7);
   world.run(15s);
   CHECK(world.heldCount() == 8);
 }
@@ -286,49 +287,49 @@
 TEST_CASE("After a lost order its replica is usable again as soon as an inspection has been answered") {
   for (const std::size_t lost : {1, 2, 3}) {
     INFO(lost << " orders lost");
-    StoreWorld world(1, 6, 4);
+    StoreSimulation world(1, 6, 4);
     world.replicas()[0].held = {ModelName("m1"), ModelName("m2")};
     world.replicas()[0].on_disk = {ModelName("m0")};
     world.report(world.replicas()[0]);
-    world.orders_lost = lost;
-    world.wantAll(0, 0);
+    world.orders_to_drop = lost;
+    world.requestModels(0, 0);
     world.run(2s + 500ms * lost);
     CHECK(world.held("m0"));
   }
 }
 
 TEST_CASE("A replica with the weights on its disk is preferred to an empty replica") {
-  StoreWorld world(3, 12, 4);
+  StoreSimulation world(3, 12, 4);
   world.replicas()[0].held = {ModelName("m1"), ModelName("m2")};
   world.replicas()[0].on_disk = {ModelName("m0")};
   world.report(world.replicas()[0]);
-  world.wantAll(0, 0);
+  world.requestModels(0, 0);
   world.run(2s);
   CHECK(world.replicas()[0].held.contains(ModelName("m0")));
 }
 
 TEST_CASE("An expected time is known for every model that waits for the weight store") {
-  StoreWorld world(8, 20, 2);
-  world.wantAll(0, 9);
+  StoreSimulation world(8, 20, 2);
+  world.requestModels(0, 9);
   world.run(3s);
-  std::size_t told = 0;
+  std::size_t expected_count = 0;
   for (int i = 0; i < 10; ++i) {
     const auto at = world.placer().expectedAt(world.service(), ModelName("m" + std::to_string(i)), world.now);
-    told += at && *at > world.now ? 1 : 0;
+    expected_count += at && *at > world.now ? 1 : 0;
   }
-  CHECK(told == 10);
-  CHECK(world.unplaced_notes >= 1);
-  CHECK(world.unplaced_notes <= 20);
+  CHECK(expected_count == 10);
+  CHECK(world.unplaced_reports >= 1);
+  CHECK(world.unplaced_reports <= 20);
 }
 
 /// Otherwise callers would be told to retry later although a replica serves the model.
 TEST_CASE("A model with a serving copy has no expected time while another copy loads") {
-  StoreWorld world(3, 6, 4);
+  StoreSimulation world(3, 6, 4);
   world.replicas()[0].held = {ModelName("m0")};
   world.report(world.replicas()[0]);
-  world.crowd("m0");
+  world.setRunningCalls("m0");
   world.run(1s);
-  REQUIRE(world.loadsUnderWay() >= 1);
+  REQUIRE(world.loadsInFlight() >= 1);
   CHECK_FALSE(world.placer().expectedAt(world.service(), ModelName("m0"), world.now).has_value());
 }
 
--- a/tests/services/model_placer_test.cc
+++ b/tests/services/model_placer_test.cc
@@ -26,7 +26,7 @@
   std::uint64_t sequence = 0;
   std::map<ModelName, std::set<std::string>> held;
   std::optional<ModelName> loading;
-  bool fell = false;
+  bool overfilled = false;
 
   std::size_t adapters() const {
     std::size_t count = 0;
@@ -35,7 +35,7 @@
     }
     return count;
   }
-  OrderOutcome take(const OrderReplicaEffect& order) {
+  OrderOutcome execute(const OrderReplicaEffect& order) {
     if (order.expected != orders_taken || (order.adapter.empty() && loading)) {
       return OrderOutcome::Conflict;
     }
@@ -43,16 +43,16 @@
       if (held.contains(order.model)) {
         return OrderOutcome::AlreadyHeld;
       }
-      fell =
-          fell || static_cast<double>(held.size() + 1) * 60 + static_cast<double>(adapters()) > kCapacityMb;
+      overfilled = overfilled ||
+                   static_cast<double>(held.size() + 1) * 60 + static_cast<double>(adapters()) > kCapacityMb;
       loading = order.model;
     } else if (order.adapter.empty()) {
       held.erase(order.model);
     } else if (!held.contains(order.model)) {
       return OrderOutcome::Refused;
     } else if (order.action == OrderAction::Load) {
-      const bool there = held[order.model].contains(order.adapter);
-      fell = fell || (!there && adapters() + 1 > kAdapterSlots);
+      const bool already_loaded = held[order.model].contains(order.adapter);
+      overfilled = overfilled || (!already_loaded && adapters() + 1 > kAdapterSlots);
       held[order.model].insert(order.adapter);
     } else {
       held[order.model].erase(order.adapter);
@@ -61,28 +61,28 @@
     return OrderOutcome::Taken;
   }
   wire::ReplicaReport report() {
-    wire::ReplicaReport told = makeReport(id.value, "llm", ++sequence);
+    wire::ReplicaReport message = makeReport(id.value, "llm", ++sequence);
     for (const auto& [model, names] : held) {
-      told.held.push_back({model, {names.begin(), names.end()}});
+      message.held.push_back({model, {names.begin(), names.end()}});
     }
-    return told;
+    return message;
   }
   ReplicaState state() const {
-    ReplicaState told;
-    told.orders_taken = orders_taken;
-    told.busy = loading.has_value();
+    ReplicaState message;
+    message.orders_taken = orders_taken;
+    message.busy = loading.has_value();
     for (const auto& [model, names] : held) {
-      told.held.push_back({model, {names.begin(), names.end()}});
+      message.held.push_back({model, {names.begin(), names.end()}});
     }
-    return told;
+    return message;
   }
 };
 
 /// Runs a placer against simulated replicas in steps of 20 ms.
-class PlacerWorld {
+class PlacerSimulation {
  public:
-  PlacerWorld(std::size_t replicas, std::uint64_t seed, double unanswered)
-      : random_(seed), unanswered_(unanswered), placer_(settings(), registry_, demand_) {
+  PlacerSimulation(std::size_t replicas, std::uint64_t seed, double unanswered)
+      : random_(seed), unanswered_share_(unanswered), placer_(settings(), registry_, demand_) {
     for (std::size_t i = 0; i < replicas; ++i) {
       ScriptedReplica replica;
       replica.id = ReplicaId("r" + std::to_string(i));
@@ -92,7 +92,7 @@
     }
   }
 
-  void want(const std::string& model, const std::string& adapter, std::uint32_t waiting) {
+  void setDemand(const std::string& model, const std::string& adapter, std::uint32_t waiting) {
     wants_ = {{ServiceName("llm"), ModelName(model), adapter, waiting, 0, waiting}};
   }
 
@@ -101,12 +101,12 @@
       demand_.accept(NodeName("edge"), wants_, time_);
       demand_.fade(time_);
       handle(placer_.plan(catalog, unreachable, time_));
-      for (auto late = late_.begin(); late != late_.end();) {
-        if (late->first <= time_) {
-          find(late->second.replica).take(late->second);
-          late = late_.erase(late);
+      for (auto delayed = delayed_orders_.begin(); delayed != delayed_orders_.end();) {
+        if (delayed->first <= time_) {
+          find(delayed->second.replica).execute(delayed->second);
+          delayed = delayed_orders_.erase(delayed);
         } else {
-          ++late;
+          ++delayed;
         }
       }
       for (ScriptedReplica& replica : replicas_) {
@@ -124,7 +124,7 @@
   std::vector<ScriptedReplica>& replicas() { return replicas_; }
   std::size_t loads() const { return loads_; }
 
-  void want(std::vector<wire::ModelWant> wants) { wants_ = std::move(wants); }
+  void setDemand(std::vector<wire::ModelWant> wants) { wants_ = std::move(wants); }
   ModelPlacer& placer() { return placer_; }
   TimePoint now() const { return time_; }
   std::size_t copiesOf(const std::string& model) const {
@@ -157,30 +157,30 @@
       }
       const auto& order = std::get<OrderReplicaEffect>(effect);
       loads_ += order.action == OrderAction::Load && order.adapter.empty() ? 1 : 0;
-      if (random_.chance(unanswered_)) {
-        late_.emplace_back(time_ + 2s + Duration(random_.below(10'000'000'000)), order);
+      if (random_.chance(unanswered_share_)) {
+        delayed_orders_.emplace_back(time_ + 2s + Duration(random_.below(10'000'000'000)), order);
         placer_.onOrderDone(order.number, OrderOutcome::Unanswered, time_);
       } else {
-        placer_.onOrderDone(order.number, find(order.replica).take(order), time_);
+        placer_.onOrderDone(order.number, find(order.replica).execute(order), time_);
       }
     }
   }
 
   TimePoint time_{1000s};
   Random random_;
-  double unanswered_;
+  double unanswered_share_;
   ReplicaRegistry registry_;
   ModelDemand demand_;
   ModelPlacer placer_;
   std::vector<ScriptedReplica> replicas_;
   std::vector<wire::ModelWant> wants_;
-  std::deque<std::pair<TimePoint, OrderReplicaEffect>> late_;
+  std::deque<std::pair<TimePoint, OrderReplicaEffect>> delayed_orders_;
   std::size_t loads_ = 0;
 };
 
 TEST_CASE("A missing model that calls wait for is loaded beside another one if it fits") {
-  PlacerWorld world(1, 1, 0);
-  world.want("m1", "", 1);
+  PlacerSimulation world(1, 1, 0);
+  world.setDemand("m1", "", 1);
   world.run(5s);
   CHECK(world.replicas()[0].held.contains(ModelName("m1")));
   CHECK(world.replicas()[0].held.contains(ModelName("m0")));
@@ -211,9 +211,9 @@
     return effects;
   };
   const auto report = [](std::uint64_t born, std::uint64_t sequence) {
-    wire::ReplicaReport told = makeReport("r1", "llm", sequence);
-    told.id = wire::replicaLife("r1", born);
-    return told;
+    wire::ReplicaReport message = makeReport("r1", "llm", sequence);
+    message.id = wire::replicaLife("r1", born);
+    return message;
   };
   TimePoint now{1000s};
   registry.accept(report(1000, 5), now);
@@ -242,13 +242,13 @@
 }
 
 TEST_CASE("A model whose only replica is unreachable is loaded elsewhere") {
-  PlacerWorld world(2, 5, 0);
+  PlacerSimulation world(2, 5, 0);
   world.replicas()[1].held.clear();
-  world.want("m0", "", 0);
+  world.setDemand("m0", "", 0);
   world.run(2s);
   CHECK(world.loads() == 0);
   world.unreachable = {ReplicaId("r0")};
-  world.want("m0", "", 1);
+  world.setDemand("m0", "", 1);
   world.run(5s);
   CHECK(world.loads() == 1);
   CHECK(world.replicas()[1].held.contains(ModelName("m0")));
@@ -265,15 +265,15 @@
   }
 }
 
-wire::ModelWant wantOf(const std::string& model, std::uint32_t waiting, std::uint32_t running,
-                       std::uint32_t arrivals) {
+wire::ModelWant callCounts(const std::string& model, std::uint32_t waiting, std::uint32_t running,
+                           std::uint32_t arrivals) {
   return {ServiceName("llm"), ModelName(model), "", waiting, running, arrivals};
 }
 
 /// If they had priority, rare models requested one after the other would use up all loads that the store
 /// allows.
 TEST_CASE("An overloaded model gets another copy despite constant requests for rare models") {
-  PlacerWorld world(4, 11, 0);
+  PlacerSimulation world(4, 11, 0);
   addModels(world.catalog);
   for (std::size_t i = 0; i < 4; ++i) {
     world.replicas()[i].held = {{ModelName("m" + std::to_string(2 * i)), {}},
@@ -281,14 +281,14 @@
   }
   constexpr int kTenths = 120;
   for (int tenth = 0; tenth < kTenths; ++tenth) {
-    std::vector<wire::ModelWant> wants = {wantOf("m0", 0, 5, 1)};
+    std::vector<wire::ModelWant> wants = {callCounts("m0", 0, 5, 1)};
     for (int i = 0; i < 4; ++i) {
-      wants.push_back(wantOf("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
+      wants.push_back(callCounts("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
     }
-    world.want(wants);
+    world.setDemand(wants);
     world.run(20ms);
     wants.front().arrivals = 0;
-    world.want(wants);
+    world.setDemand(wants);
     world.run(80ms);
   }
   CHECK(world.copiesOf("m0") >= 2);
@@ -296,7 +296,7 @@
 }
 
 TEST_CASE("Two models that must be evicted for one are unloaded without a pause between them") {
-  PlacerWorld world(1, 3, 0);
+  PlacerSimulation world(1, 3, 0);
   addModels(world.catalog);
   for (wire::HostedService& service : world.catalog.services) {
     for (std::size_t i = 0; service.engine && i < service.engine->models.size(); ++i) {
@@ -304,14 +304,14 @@
     }
   }
   world.replicas()[0].held = {{ModelName("m3"), {}}, {ModelName("m4"), {}}};
-  world.want("m9", "", 1);
+  world.setDemand("m9", "", 1);
   world.run(4s);  // reports of two unloads and a load, with a mean delay of one second each
   CHECK(world.placer().loadsBegun() >= 3);
   CHECK(world.loads() == 1);
 }
 
 TEST_CASE("The expected time of a missing model is the end of its load") {
-  PlacerWorld world(1, 12, 0);
+  PlacerSimulation world(1, 12, 0);
   wire::HostedService& llm = *std::find_if(world.catalog.services.begin(), world.catalog.services.end(),
                                            [](const auto& service) { return service.engine.has_value(); });
   constexpr Duration load_time = 2s;
@@ -319,7 +319,7 @@
     model.store_load_ms = 2000;
   }
   CHECK_FALSE(world.placer().expectedAt(llm, ModelName("m1"), world.now()).has_value());
-  world.want("m1", "", 1);
+  world.setDemand("m1", "", 1);
   world.run(40ms);
   const std::uint64_t begun = world.placer().loadsBegun();
   CHECK(begun >= 1);
@@ -330,28 +330,28 @@
 }
 
 TEST_CASE("An idle model is evicted for a requested one if memory is full") {
-  PlacerWorld world(1, 2, 0);
-  world.want("m1", "", 1);
+  PlacerSimulation world(1, 2, 0);
+  world.setDemand("m1", "", 1);
   world.run(5s);
-  world.want("m2", "", 1);
+  world.setDemand("m2", "", 1);
   world.run(10s);
   CHECK(world.replicas()[0].held.contains(ModelName("m2")));
-  CHECK_FALSE(world.replicas()[0].fell);
+  CHECK_FALSE(world.replicas()[0].overfilled);
 }
 
 TEST_CASE("An adapter is loaded onto its model's replica, evicting the one with the least demand") {
-  PlacerWorld world(1, 3, 0);
+  PlacerSimulation world(1, 3, 0);
   for (const char* adapter : {"a1", "a2", "a3"}) {
-    world.want("m0", adapter, 1);
+    world.setDemand("m0", adapter, 1);
     world.run(2s);
     CHECK(world.replicas()[0].held[ModelName("m0")].contains(adapter));
   }
-  CHECK_FALSE(world.replicas()[0].fell);
+  CHECK_FALSE(world.replicas()[0].overfilled);
 }
 
 TEST_CASE("Loads from the weight store don't exceed the operator's rate") {
-  PlacerWorld world(30, 4, 0);
-  world.want("m1", "", 500);
+  PlacerSimulation world(30, 4, 0);
+  world.setDemand("m1", "", 500);
   world.run(5s);
   CHECK(world.loads() <= 10);
   CHECK(world.loads() >= 5);
@@ -360,16 +360,17 @@
 TEST_CASE("No order overfills a replica although half of the orders are executed late") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
-    PlacerWorld world(3, seed, 0.5);
+    PlacerSimulation world(3, seed, 0.5);
     Random random(seed);
     for (int i = 0; i < 40; ++i) {
-      const bool whole = random.chance(0.5);
-      world.want("m" + std::to_string(random.below(3)), whole ? "" : "a" + std::to_string(random.below(5)),
-                 1 + static_cast<std::uint32_t>(random.below(9)));
+      const bool whole_model = random.chance(0.5);
+      world.setDemand("m" + std::to_string(random.below(3)),
+                      whole_model ? "" : "a" + std::to_string(random.below(5)),
+                      1 + static_cast<std::uint32_t>(random.below(9)));
       world.run(1s);
     }
     for (const ScriptedReplica& replica : world.replicas()) {
-      CHECK_FALSE(replica.fell);
+      CHECK_FALSE(replica.overfilled);
     }
   }
 }
--- a/tests/services/nearest_weights_test.cc
+++ b/tests/services/nearest_weights_test.cc
@@ -59,7 +59,7 @@
 }
 
 /// Replicas that a new leader scans if each router requests a model before orders are permitted.
-std::uint64_t passedFor(std::size_t routers, std::size_t replicas) {
+std::uint64_t scannedFor(std::size_t routers, std::size_t replicas) {
   ReplicaRegistry registry;
   for (std::size_t i = 0; i < replicas; ++i) {
     registry.accept(reportWith("r" + std::to_string(i), {}, {ModelName("m1")}), kStart, true);
@@ -78,10 +78,10 @@
 }
 
 TEST_CASE("A new leader scans the replicas once for the requests of all routers, not once for each") {
-  const std::uint64_t small = passedFor(100, 500);
+  const std::uint64_t small = scannedFor(100, 500);
   CHECK(small <= 500);
-  CHECK(passedFor(200, 500) <= small);
-  CHECK(passedFor(200, 1000) <= 2 * small);
+  CHECK(scannedFor(200, 500) <= small);
+  CHECK(scannedFor(200, 1000) <= 2 * small);
 }
 
 }  // namespace
--- a/tests/services/replica_choice_test.cc
+++ b/tests/services/replica_choice_test.cc
@@ -44,7 +44,7 @@
 TEST_CASE(
     "A router gets few replicas, most from its own zone; all routers together use all replicas evenly") {
   ChoiceFixture fixture;
-  std::map<ReplicaId, std::size_t> told;
+  std::map<ReplicaId, std::size_t> selections;
   constexpr std::size_t kRouters = 400;
   for (std::size_t router = 0; router < kRouters; ++router) {
     const wire::CallRouterStatus status = ChoiceFixture::statusOf(router);
@@ -56,12 +56,12 @@
     CHECK(own == static_cast<std::ptrdiff_t>(ReplicaChoice::kMaxFromOwnZone));
     CHECK(fixture.choice.choose(status, {ServiceName("desk")}) == chosen);
     for (const IndexedReplica* replica : chosen) {
-      ++told[replica->routed.id];
+      ++selections[replica->routed.id];
     }
   }
   const std::size_t mean = kRouters * ReplicaChoice::kMostOfGroup / kReplicas;
-  CHECK(told.size() == kReplicas);
-  for (const auto& [id, routers] : told) {
+  CHECK(selections.size() == kReplicas);
+  for (const auto& [id, routers] : selections) {
     CHECK(routers <= 3 * mean);
   }
 }
--- a/tests/services/service_cluster.cc
+++ b/tests/services/service_cluster.cc
@@ -15,7 +15,7 @@
 constexpr Duration kSyncDelay = 1ms;
 constexpr Duration kTickDelay = 10ms;
 /// Time until a new connection replaces a silent one.
-constexpr Duration kReconnection = 200ms;
+constexpr Duration kReconnectDelay = 200ms;
 constexpr Duration kRouterInterval = 250ms;
 
 NodeName nodeAt(std::size_t number) {
@@ -25,7 +25,7 @@
 }  // namespace
 
 ServiceCluster::ServiceCluster(std::size_t founders, std::uint32_t losses_borne, std::uint64_t seed)
-    : random_(seed), losses_borne_(losses_borne) {
+    : random_(seed), tolerated_losses_(losses_borne) {
   for (std::size_t i = 0; i < founders; ++i) {
     seeds_.push_back(nodeAt(i));
     wire::Member member;
@@ -71,7 +71,7 @@
   settings.control.log.retained_entries = 10;
   settings.http = member.node.value;
   settings.seeds = seeds_;
-  settings.losses_borne = losses_borne_;
+  settings.losses_borne = tolerated_losses_;
   settings.tells_loads = tells_loads;
   member.control = createServiceControl(settings, member.storage->recover(), Random(random_.next()), clock_);
   act(member, [](ServiceControl& control, TimePoint now) { return control.tick(now); });
@@ -110,7 +110,7 @@
 }
 
 void ServiceCluster::isolate(const NodeName& node) {
-  cuts_.insert(node);
+  isolated_.insert(node);
 }
 
 ServiceMember* ServiceCluster::leader() {
@@ -133,7 +133,7 @@
   router->status.accepting = true;
   ScriptedRouter& added = *router;
   routers_[NodeName(name)] = std::move(router);
-  beatRouter(added);
+  sendStatusPeriodically(added);
   return added;
 }
 
@@ -146,14 +146,14 @@
   }
 }
 
-void ServiceCluster::beatRouter(ScriptedRouter& router) {
+void ServiceCluster::sendStatusPeriodically(ScriptedRouter& router) {
   if (!router.silent) {
     tell(router);
   }
-  after(kRouterInterval, [this, &router] { beatRouter(router); });
+  after(kRouterInterval, [this, &router] { sendStatusPeriodically(router); });
 }
 
-void ServiceCluster::takeUpdate(ScriptedRouter& router, const wire::ServiceUpdate& update) {
+void ServiceCluster::applyUpdate(ScriptedRouter& router, const wire::ServiceUpdate& update) {
   ++router.updates;
   if (update.revision < router.status.revision) {
     return;
@@ -221,8 +221,8 @@
     if (const auto* send = std::get_if<wire::SendEffect>(&effect)) {
       deliver(router.node, send->to, send->message);
     } else if (const auto* renewal = std::get_if<calls::RenewConnectionEffect>(&effect)) {
-      after(kReconnection, [this, node = router.node, member = renewal->member] {
-        silent_.erase(std::minmax(node, member));
+      after(kReconnectDelay, [this, node = router.node, member = renewal->member] {
+        silent_links_.erase(std::minmax(node, member));
       });
     } else if (on_router_effect) {
       on_router_effect(router, effect);
@@ -285,7 +285,7 @@
     return;
   }
   Effects effects = action(*member.control, time_);
-  updates_of_event_ = 0;
+  event_updates_ = 0;
   for (Effect& effect : effects) {
     if (const auto* send = std::get_if<wire::SendEffect>(&effect)) {
       deliver(member.node, send->to, send->message);
@@ -358,7 +358,8 @@
   catalogs_by_others += std::holds_alternative<wire::CatalogUpdate>(message) ? 1 : 0;
   after(kMessageDelay, [this, from, to, bytes] {
     const std::pair<NodeName, NodeName> link = std::minmax(from, to);
-    if (cuts_.contains(from) || cuts_.contains(to) || silent_.contains(link) || cut_links_.contains(link)) {
+    if (isolated_.contains(from) || isolated_.contains(to) || silent_links_.contains(link) ||
+        cut_links_.contains(link)) {
       return;
     }
     const wire::Envelope envelope = wire::decodeEnvelope(bytes);
@@ -371,7 +372,7 @@
     const auto router = routers_.find(to);
     const auto* update = std::get_if<wire::ServiceUpdate>(&envelope.message);
     if (router != routers_.end() && update != nullptr && !router->second->silent) {
-      takeUpdate(*router->second, *update);
+      applyUpdate(*router->second, *update);
     }
     const auto call_router = call_routers_.find(to);
     if (call_router != call_routers_.end()) {
@@ -395,14 +396,14 @@
     lives_told += reports->reports.size() + reports->alive.size();
   }
   if (const auto* update = std::get_if<wire::ServiceUpdate>(&message)) {
-    if (time_ - entries_since_ >= kTickDelay) {
-      entries_since_ = time_;
+    if (time_ - tick_begin_ >= kTickDelay) {
+      tick_begin_ = time_;
       entries_per_tick_ = 0;
     }
     ++updates_to[to];
-    most_updates_per_event = std::max(most_updates_per_event, ++updates_of_event_);
+    most_updates_per_event = std::max(most_updates_per_event, ++event_updates_);
     catalogs_sent += update->catalog ? 1 : 0;
-    loads_told += update->loads ? 1 : 0;
+    load_updates_sent += update->loads ? 1 : 0;
     entries_sent += update->replicas.size();
     entries_per_tick_ += update->replicas.size();
     most_entries_per_tick = std::max(most_entries_per_tick, entries_per_tick_);
@@ -414,7 +415,7 @@
 }
 
 std::uint64_t ServiceCluster::replace(ServiceMember& member, const wire::ServiceCatalog& catalog) {
-  const QuestionNumber question{next_question_++};
+  const QuestionNumber question{next_request_++};
   const std::string source = "catalog " + std::to_string(catalog.version.value);
   act(member, [question, catalog, source](ServiceControl& control, TimePoint now) {
     return control.replaceCatalog(question, catalog, source, now);
@@ -423,14 +424,14 @@
 }
 
 std::uint64_t ServiceCluster::read(ServiceMember& member) {
-  const QuestionNumber question{next_question_++};
+  const QuestionNumber question{next_request_++};
   act(member,
       [question](ServiceControl& control, TimePoint now) { return control.readCatalog(question, now); });
   return question.value;
 }
 
 std::uint64_t ServiceCluster::report(ServiceMember& member, const wire::ReplicaReport& report) {
-  const QuestionNumber question{next_question_++};
+  const QuestionNumber question{next_request_++};
   act(member, [question, report](ServiceControl& control, TimePoint now) {
     return control.onReport(question, report, now);
   });
@@ -447,11 +448,11 @@
 }
 
 bool ServiceCluster::replaceAcknowledged(const wire::ServiceCatalog& catalog, Duration limit) {
-  return askLeader([&](ServiceMember& member) { return replace(member, catalog); }, limit);
+  return requestFromLeader([&](ServiceMember& member) { return replace(member, catalog); }, limit);
 }
 
 std::uint64_t ServiceCluster::evacuate(ServiceMember& member, const std::string& zone, bool evacuated) {
-  const QuestionNumber question{next_question_++};
+  const QuestionNumber question{next_request_++};
   act(member, [question, zone, evacuated](ServiceControl& control, TimePoint now) {
     return control.evacuateZone(question, ZoneName(zone), evacuated, now);
   });
@@ -459,18 +460,19 @@
 }
 
 bool ServiceCluster::evacuateAcknowledged(const std::string& zone, bool evacuated) {
-  return askLeader([&](ServiceMember& member) { return evacuate(member, zone, evacuated); }, 30s);
+  return requestFromLeader([&](ServiceMember& member) { return evacuate(member, zone, evacuated); }, 30s);
 }
 
 /// Sends the request to the current leader, retrying until the result is Ok.
-bool ServiceCluster::askLeader(const std::function<std::uint64_t(ServiceMember&)>& ask, Duration limit) {
+bool ServiceCluster::requestFromLeader(const std::function<std::uint64_t(ServiceMember&)>& send_request,
+                                       Duration limit) {
   const TimePoint end = time_ + limit;
   while (time_ < end) {
     if (!runUntil([this] { return leader() != nullptr; }, end - time_)) {
       return false;
     }
     ServiceMember& member = *leader();
-    const std::uint64_t question = ask(member);
+    const std::uint64_t question = send_request(member);
     runUntil([&] { return codeOf(member, question).has_value() || !member.control; }, 5s);
     if (codeOf(member, question) == ResultCode::Ok) {
       return true;
@@ -481,8 +483,8 @@
 }
 
 std::string ServiceCluster::readConfirmed() {
-  constexpr int kTries = 200;
-  for (int i = 0; i < kTries; ++i) {
+  constexpr int kMaxAttempts = 200;
+  for (int i = 0; i < kMaxAttempts; ++i) {
     if (ServiceMember* member = leader()) {
       const std::uint64_t question = read(*member);
       runUntil([&] { return codeOf(*member, question).has_value(); }, 2s);
--- a/tests/services/service_cluster.h
+++ b/tests/services/service_cluster.h
@@ -85,10 +85,10 @@
   void start(ServiceMember& member);
   void wipe(ServiceMember& member);
   void isolate(const NodeName& node);
-  void heal() { cuts_.clear(); }
+  void heal() { isolated_.clear(); }
   /// The open connection between the two nodes silently drops all messages in both directions, without a
   /// reset. A newly opened connection works.
-  void silence(const NodeName& one, const NodeName& other) { silent_.insert(std::minmax(one, other)); }
+  void silence(const NodeName& one, const NodeName& other) { silent_links_.insert(std::minmax(one, other)); }
   /// Drops all messages between the two nodes, over new connections too.
   void cutLink(const NodeName& one, const NodeName& other) { cut_links_.insert(std::minmax(one, other)); }
 
@@ -141,7 +141,7 @@
   /// Orders sent, with their senders; each is answered as accepted.
   std::vector<std::pair<NodeName, OrderReplicaEffect>> orders;
   std::vector<std::pair<NodeName, TimePoint>> order_times;
-  std::size_t loads_told = 0;          ///< updates that contain the load of replicas
+  std::size_t load_updates_sent = 0;   ///< updates that contain the load of replicas
   std::size_t catalogs_by_others = 0;  ///< catalog updates sent to routers by members that don't lead
   std::size_t entries_sent = 0;        ///< replica entries in updates
   std::size_t catalogs_sent = 0;       ///< updates that contain a catalog
@@ -163,34 +163,34 @@
     }
   };
 
-  bool askLeader(const std::function<std::uint64_t(ServiceMember&)>& ask, Duration limit);
+  bool requestFromLeader(const std::function<std::uint64_t(ServiceMember&)>& send_request, Duration limit);
   void after(Duration delay, std::function<void()> action);
   bool step(TimePoint limit);
   void sync(ServiceMember& member, std::uint64_t starts);
   void deliver(const NodeName& from, const NodeName& to, const wire::Message& message);
-  void beatRouter(ScriptedRouter& router);
-  void takeUpdate(ScriptedRouter& router, const wire::ServiceUpdate& update);
+  void sendStatusPeriodically(ScriptedRouter& router);
+  void applyUpdate(ScriptedRouter& router, const wire::ServiceUpdate& update);
   void tickRouter(RunningRouter& router);
   void receive(RunningRouter& router, const wire::Envelope& envelope);
   void countEntries(const NodeName& to, const wire::Message& message);
   void carryOut(RunningRouter& router, const calls::Effects& effects);
 
   Random random_;
-  std::uint32_t losses_borne_;
+  std::uint32_t tolerated_losses_;
   TimePoint time_{std::chrono::seconds(1000)};
   std::uint64_t next_order_ = 1;
-  std::uint64_t next_question_ = 1;
-  TimePoint entries_since_{};
+  std::uint64_t next_request_ = 1;
+  TimePoint tick_begin_{};
   std::size_t entries_per_tick_ = 0;
-  std::size_t updates_of_event_ = 0;
+  std::size_t event_updates_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<ServiceMember>> members_;
   std::vector<NodeName> seeds_;
   std::vector<wire::Member> founders_;
   std::map<NodeName, std::unique_ptr<ScriptedRouter>> routers_;
   std::map<NodeName, std::unique_ptr<RunningRouter>> call_routers_;
-  std::set<NodeName> cuts_;
-  std::set<std::pair<NodeName, NodeName>> silent_;  ///< smaller name first
+  std::set<NodeName> isolated_;
+  std::set<std::pair<NodeName, NodeName>> silent_links_;  ///< smaller name first
   std::set<std::pair<NodeName, NodeName>> cut_links_;
 
   class Clock : public TimeSource {
--- a/tests/services/slow_start_test.cc
+++ b/tests/services/slow_start_test.cc
@@ -32,7 +32,7 @@
     };
     REQUIRE(cluster.runUntil([this] { return cluster.leader() != nullptr; }));
     for (std::size_t i = 0; i < kReplicas; ++i) {
-      cluster.schedule(100ms * i, [this, i] { beat(i); });
+      cluster.schedule(100ms * i, [this, i] { reportPeriodically(i); });
     }
     for (std::size_t i = 0; i < kRouters; ++i) {
       routers.push_back(&cluster.addCallRouter("edge-" + std::to_string(i)));
@@ -41,7 +41,7 @@
     cluster.runFor(9s);
   }
   static ReplicaId idOf(std::size_t number) { return ReplicaId("r" + std::to_string(number)); }
-  void beat(std::size_t number) {
+  void reportPeriodically(std::size_t number) {
     if (!gone.contains(number)) {
       wire::ReplicaReport report = makeReport(idOf(number).value, "desk", ++sequence);
       const auto slow = slow_until.find(number);
@@ -50,10 +50,10 @@
           slow != slow_until.end() && now < slow->second ? toMilliseconds(slow->second - now) : 0;
       cluster.report(*cluster.leader(), report);
     }
-    cluster.schedule(1s, [this, number] { beat(number); });
+    cluster.schedule(1s, [this, number] { reportPeriodically(number); });
   }
   /// The replica becomes slow and reports it immediately.
-  void turnSlow(std::size_t number) {
+  void beginSlowStart(std::size_t number) {
     slow_until[number] = cluster.now() + std::chrono::milliseconds(kSlowMs);
     gone.erase(number);
     wire::ReplicaReport report = makeReport(idOf(number).value, "desk", ++sequence);
@@ -87,7 +87,7 @@
 TEST_CASE("A slow-starting replica gets no calls until its slow start ends if others have capacity") {
   SlowStartFleet fleet;
   fleet.callFor(2s);
-  fleet.turnSlow(0);
+  fleet.beginSlowStart(0);
   fleet.cluster.runFor(100ms);
   fleet.sent_to.clear();
   fleet.callFor(2500ms);
@@ -101,7 +101,7 @@
 TEST_CASE("Replicas still get calls if all of them are in slow start") {
   SlowStartFleet fleet;
   for (std::size_t i = 0; i < kReplicas; ++i) {
-    fleet.turnSlow(i);
+    fleet.beginSlowStart(i);
   }
   fleet.cluster.runFor(100ms);
   fleet.sent_to.clear();
--- a/tests/services/store_loads_test.cc
+++ b/tests/services/store_loads_test.cc
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kNominal = 6s;
-constexpr Duration kReport = 300ms;
+constexpr Duration kReportDelay = 300ms;
 const TimePoint kStart{1000s};
 
 ReplicaId replica(std::size_t number) {
@@ -38,7 +38,7 @@
     const std::size_t begun = beginAll(loads, 0, now);
     CHECK(begun > before);
     before = begun;
-    now += kNominal + kReport;
+    now += kNominal + kReportDelay;
     for (std::size_t i = 0; i < begun; ++i) {
       loads.onEnded(replica(i), now);
     }
@@ -59,31 +59,31 @@
   CHECK(begun == 1);
 }
 
-/// Simulates requests for models without local weights at a store with a width of `places`: loads beyond the
+/// Simulates requests for models without local weights at a store of width `store_width`: loads beyond the
 /// width share its speed. Returns the number of models that serve within the time.
-std::size_t modelsServing(std::size_t places, Duration nominal, Duration within) {
+std::size_t modelsServing(std::size_t store_width, Duration nominal, Duration within) {
   constexpr std::size_t kModels = 12;
   constexpr Duration kStep = 100ms;
   StoreLoads loads;
-  std::map<std::size_t, Duration> left;  ///< remaining time at full speed, by load in progress
+  std::map<std::size_t, Duration> remaining;  ///< remaining time at full speed, by load in progress
   std::size_t next = 0;
   std::size_t serving = 0;
   for (TimePoint now = kStart; now < kStart + within; now += kStep) {
     loads.expectLoad(nominal);
     while (next < kModels && loads.mayBegin(0, now)) {
       loads.onBegun(replica(next), nominal, now);
-      left[next++] = nominal;
+      remaining[next++] = nominal;
     }
-    const auto crowd = static_cast<std::int64_t>(std::max(places, left.size()));
-    const Duration progress = kStep * static_cast<std::int64_t>(places) / crowd;
-    for (auto& [model, rest] : left) {
+    const auto crowd = static_cast<std::int64_t>(std::max(store_width, remaining.size()));
+    const Duration progress = kStep * static_cast<std::int64_t>(store_width) / crowd;
+    for (auto& [model, rest] : remaining) {
       rest -= progress;
       if (rest <= Duration::zero()) {
-        loads.onEnded(replica(model), now + kReport);
+        loads.onEnded(replica(model), now + kReportDelay);
         ++serving;
       }
     }
-    std::erase_if(left, [](const auto& item) { return item.second <= Duration::zero(); });
+    std::erase_if(remaining, [](const auto& item) { return item.second <= Duration::zero(); });
     loads.observeOverdue(now);
   }
   return serving;
@@ -103,7 +103,7 @@
   StoreLoads loads;
   constexpr std::size_t kTrueWidth = 2;
   const std::size_t begun = beginAll(loads, 0, kStart);
-  const TimePoint end = kStart + kNominal * (begun / kTrueWidth) + kReport;
+  const TimePoint end = kStart + kNominal * (begun / kTrueWidth) + kReportDelay;
   for (std::size_t i = 0; i < begun; ++i) {
     loads.onEnded(replica(i), end);
   }
@@ -142,7 +142,7 @@
     for (begun = 0; loads.mayBegin(0, now); ++begun) {
       loads.onBegun(replica(begun), kShort, now);
     }
-    now += kShort + kReport;
+    now += kShort + kReportDelay;
     for (std::size_t i = 0; i < begun; ++i) {
       loads.onEnded(replica(i), now);
     }
@@ -155,7 +155,7 @@
   loads.expectLoad(kNominal);
   const std::size_t begun = beginAll(loads, 0, kStart);
   CHECK(begun == 4);
-  const TimePoint end = kStart + kNominal * 2 + kReport;
+  const TimePoint end = kStart + kNominal * 2 + kReportDelay;
   for (std::size_t i = 0; i < begun; ++i) {
     loads.onEnded(replica(i), end);
   }
@@ -181,7 +181,7 @@
   const std::size_t begun = beginAll(loads, 0, kStart);
   REQUIRE(begun > 2);
   for (std::size_t i = 1; i < begun; ++i) {
-    loads.onEnded(replica(i), kStart + kNominal + kReport);
+    loads.onEnded(replica(i), kStart + kNominal + kReportDelay);
   }
   const double before = loads.width();
   for (Duration late = 2s; late < 60s; late += 1s) {
