--- a/src/services/model_placer.cc
+++ b/src/services/model_placer.cc
@@ -246,9 +246,9 @@
       return;
     }
     const Engine& engine = *candidate.engine;
-    const bool asked = engine.pending && engine.pending->order.model == key.model &&
-                       engine.pending->order.adapter == key.adapter && !engine.pending->inspecting;
-    if (asked) {
+    const bool already_pending = engine.pending && engine.pending->order.model == key.model &&
+                                 engine.pending->order.adapter == key.adapter && !engine.pending->inspecting;
+    if (already_pending) {
       return;
     }
     const bool usable = holds(*candidate.record, key.model) && engine.unloading != key.model;
--- a/src/services/model_placer_models.cc
+++ b/src/services/model_placer_models.cc
@@ -207,8 +207,8 @@
     const std::size_t held = copies(key.model);
     // If the last copies of a model are in an evacuated zone, it is loaded elsewhere before its calls have to
     // wait.
-    const bool awaited = demand.waiting > 0 || evacuated_models_.contains(key.model);
-    const bool missing = held == 0 && awaited;
+    const bool has_demand = demand.waiting > 0 || evacuated_models_.contains(key.model);
+    const bool missing = held == 0 && has_demand;
     const bool overloaded = held > 0 && capacity(key.model) < requiredCapacity(service, key.model);
     if (missing || overloaded) {
       requests.push_back({urgency(service, key.model, demand), missing, model});
--- a/src/services/model_placer_rules.h
+++ b/src/services/model_placer_rules.h
@@ -12,7 +12,7 @@
 constexpr Duration kUnloadTime = std::chrono::milliseconds(200);
 
 /// A load is late once it has taken kLateFactor times its expected duration plus kLateSlack. The placer then
-/// inspects the replica, and the load no longer counts as a coming copy.
+/// inspects the replica, and the load no longer counts as an expected copy.
 constexpr int kLateFactor = 2;
 constexpr Duration kLateSlack = std::chrono::seconds(1);
 
