--- a/tests/services/fleet_load_test.cc
+++ b/tests/services/fleet_load_test.cc
@@ -7,20 +7,20 @@
 #include "services/service_cluster.h"
 #include "wire/replica_life.h"
 
-/// Routers choose by the load and speed that they learn together, and go on by themselves when they hear of
-/// it no more.
+/// Tests that routers balance calls by the load and speed of replicas as aggregated over all routers, and by
+/// their own calls alone when no aggregate arrives.
 namespace ferryrock::services {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHop = 1ms;
-constexpr Duration kFirstEvent = 20ms;
-constexpr Duration kQuickPause = 30ms;
-constexpr Duration kSlowPause = 66ms;
+constexpr Duration kNetworkDelay = 1ms;
+constexpr Duration kFirstEventDelay = 20ms;
+constexpr Duration kQuickGap = 30ms;
+constexpr Duration kSlowGap = 66ms;
 constexpr int kEvents = 20;
 
-/// One quick and two slow replicas of one model, six routers, and callers with streams at random routers.
+/// One quick and two slow replicas of one model, six routers, and streams that arrive at random routers.
 class UnevenFleet {
  public:
   explicit UnevenFleet(std::uint64_t seed) : cluster(3, 1, seed), random_(seed) {
@@ -43,18 +43,18 @@
     REQUIRE(cluster.replaceAcknowledged(catalog));
     for (const char* name : {"quick", "slow-1", "slow-2"}) {
       starts_[name] = 1000;
-      beat(name, 1);
+      reportPeriodically(name, 1);
     }
     cluster.runFor(2s);
-    arrive();
+    submitCalls();
   }
 
-  /// The replica starts again, now as quick as the quick one.
-  void startAgainQuick(const std::string& name) {
+  /// Restarts the replica, which then is as quick as the quick one.
+  void restartAsQuick(const std::string& name) {
     starts_[name] += 1000;
-    quick_again_ = name;
+    restarted_quick_ = name;
   }
-  /// Share of the streams that began at the quick replica in the next seconds.
+  /// Share of the streams started within the next `time` that went to the quick replica.
   double quickShare(Duration time) {
     const std::map<std::string, std::size_t> before = sent_;
     cluster.runFor(time);
@@ -80,7 +80,7 @@
   std::size_t ended = 0;
 
  private:
-  void beat(const std::string& name, std::uint64_t sequence) {
+  void reportPeriodically(const std::string& name, std::uint64_t sequence) {
     for (std::size_t i = 0; i < 3; ++i) {
       if (cluster.member(i).control) {
         wire::ReplicaReport report = makeReport(name, "llm", sequence);
@@ -90,9 +90,9 @@
         cluster.report(cluster.member(i), report);
       }
     }
-    cluster.schedule(500ms, [this, name, sequence] { beat(name, sequence + 1); });
+    cluster.schedule(500ms, [this, name, sequence] { reportPeriodically(name, sequence + 1); });
   }
-  void arrive() {
+  void submitCalls() {
     RunningRouter& router = *routers[random_.below(routers.size())];
     calls::CallRequest request;
     request.number = calls::CallNumber{++router.calls};
@@ -104,7 +104,7 @@
     cluster.actRouter(router, [request](calls::CallRouter& logic, TimePoint now) mutable {
       return logic.onCall(std::move(request), now);
     });
-    cluster.schedule(40ms, [this] { arrive(); });
+    cluster.schedule(40ms, [this] { submitCalls(); });
   }
   void onEffect(RunningRouter& router, const calls::Effect& effect) {
     refused += std::holds_alternative<calls::RefuseCallEffect>(effect) ? 1 : 0;
@@ -112,19 +112,18 @@
     if (const auto* send = std::get_if<calls::SendAttemptEffect>(&effect)) {
       const std::string name = wire::replicaName(send->replica);
       ++sent_[name];
-      const bool quick = name == "quick" || name == quick_again_;
-      event(router, send->attempt, 1, quick ? kQuickPause : kSlowPause, kHop + kFirstEvent);
+      const bool quick = name == "quick" || name == restarted_quick_;
+      event(router, send->attempt, 1, quick ? kQuickGap : kSlowGap, kNetworkDelay + kFirstEventDelay);
     }
   }
-  void event(RunningRouter& router, calls::AttemptNumber attempt, int number, Duration pause,
-             Duration delay) {
-    cluster.schedule(delay, [this, &router, attempt, number, pause] {
+  void event(RunningRouter& router, calls::AttemptNumber attempt, int number, Duration gap, Duration delay) {
+    cluster.schedule(delay, [this, &router, attempt, number, gap] {
       cluster.actRouter(router, [attempt, number](calls::CallRouter& logic, TimePoint now) {
         return number > kEvents ? logic.onStreamEnd(attempt, now)
                                 : logic.onStreamEvent(attempt, static_cast<std::uint64_t>(number), "x", now);
       });
       if (number <= kEvents) {
-        event(router, attempt, number + 1, pause, pause);
+        event(router, attempt, number + 1, gap, gap);
       }
     });
   }
@@ -132,32 +131,32 @@
   Random random_;
   std::map<std::string, std::uint64_t> starts_;
   std::map<std::string, std::size_t> sent_;
-  std::string quick_again_;
+  std::string restarted_quick_;
 };
 
-constexpr double kMostlyQuick = 0.6;
+constexpr double kMinQuickShare = 0.6;
 
-TEST_CASE("Routers that see a few streams each learn together which replica is quick") {
+TEST_CASE("Routers that each see few streams learn together which replica is quick") {
   const auto seed = GENERATE(range<std::uint64_t>(1, 5));
   UnevenFleet fleet(seed);
   fleet.cluster.runFor(10s);
-  CHECK(fleet.quickShare(10s) >= kMostlyQuick);
+  CHECK(fleet.quickShare(10s) >= kMinQuickShare);
   CHECK(fleet.balanced() > 100);
   CHECK(fleet.refused == 0);
-  // The slow ones still get what the quick one would make wait.
+  // The slow replicas still get the calls that would have to wait at the quick one.
   CHECK(fleet.sentTo("slow-1") + fleet.sentTo("slow-2") > 10);
 }
 
-TEST_CASE("No call waits for loads: the leader is killed, all members lose power, a router is cut off") {
+TEST_CASE("Calls are served while a failure stops load updates, and balancing resumes afterwards") {
   struct Fault {
     const char* name;
-    std::function<void(UnevenFleet&)> strike;
-    std::function<void(UnevenFleet&)> mend;
+    std::function<void(UnevenFleet&)> inject;
+    std::function<void(UnevenFleet&)> recover;
   };
   const std::vector<Fault> faults = {
       {"leader killed", [](UnevenFleet& fleet) { fleet.cluster.kill(*fleet.cluster.leader()); },
        [](UnevenFleet&) {}},
-      {"all members without power",
+      {"all members lose power",
        [](UnevenFleet& fleet) {
          for (std::size_t i = 0; i < 3; ++i) {
            fleet.cluster.powerOff(fleet.cluster.member(i));
@@ -168,7 +167,7 @@
            fleet.cluster.start(fleet.cluster.member(i));
          }
        }},
-      {"router cut off for 30 s",
+      {"router isolated for 30 s",
        [](UnevenFleet& fleet) {
          fleet.cluster.isolate(fleet.routers[0]->node);
          fleet.cluster.runFor(25s);
@@ -179,20 +178,20 @@
     UnevenFleet fleet(3);
     fleet.cluster.runFor(10s);
     const std::size_t ended = fleet.ended;
-    fault.strike(fleet);
+    fault.inject(fleet);
     fleet.cluster.runFor(5s);
     CHECK(fleet.refused == 0);
     CHECK(fleet.ended > ended + 80);
     const std::size_t cut_off = fleet.routers[0]->log.balanced;
-    fault.mend(fleet);
+    fault.recover(fleet);
     fleet.cluster.runFor(20s);
     CHECK(fleet.refused == 0);
     CHECK(fleet.routers[0]->log.balanced > cut_off);
-    CHECK(fleet.quickShare(10s) >= kMostlyQuick);
+    CHECK(fleet.quickShare(10s) >= kMinQuickShare);
   }
 }
 
-TEST_CASE("Without a leader's word for 2.5 s a router goes by its own calls") {
+TEST_CASE("A router without load updates for 2.5 s balances by its own calls alone") {
   UnevenFleet fleet(2);
   fleet.cluster.runFor(10s);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -205,8 +204,9 @@
   CHECK(fleet.refused == 0);
 }
 
-/// 200 routers and 100 replicas that all serve something: each telling would be 20,000 entries.
-TEST_CASE("A fleet too large to be told loads in time is told none") {
+/// With 200 routers and 100 replicas that all serve calls, each round of load updates would have 20,000
+/// entries.
+TEST_CASE("No load updates are sent to a fleet too large to receive them in time") {
   ServiceCluster cluster(3, 1, 1);
   cluster.tells_loads = true;
   for (std::size_t i = 0; i < 3; ++i) {
@@ -228,18 +228,18 @@
       }
     }
     cluster.runFor(4s);
-    const std::size_t before = cluster.loads_told;
+    const std::size_t before = cluster.load_updates_sent;
     cluster.runFor(4s);
-    return cluster.loads_told - before;
+    return cluster.load_updates_sent - before;
   };
   CHECK(serve(100) == 0);
   CHECK(serve(20) > 200);
 }
 
-TEST_CASE("A slow replica that starts again isn't taken for slow") {
+TEST_CASE("A slow replica isn't treated as slow after it restarts") {
   UnevenFleet fleet(4);
   fleet.cluster.runFor(10s);
-  fleet.startAgainQuick("slow-1");
+  fleet.restartAsQuick("slow-1");
   fleet.cluster.runFor(2s);
   const std::size_t before = fleet.sentTo("slow-1");
   const std::size_t other = fleet.sentTo("slow-2");
--- a/tests/services/model_placer_test.cc
+++ b/tests/services/model_placer_test.cc
@@ -9,8 +9,8 @@
 #include "services/service_cluster.h"
 #include "wire/replica_life.h"
 
-/// The placer against replicas that leave orders unanswered, carry them out late, check the expected count
-/// and fall when they are ordered more than they hold.
+/// Tests of the placer against replicas that leave orders unanswered, execute them late, check the expected
+/// order count, and crash if they are ordered to hold more than fits.
 namespace ferryrock::services {
 namespace {
 
@@ -19,14 +19,14 @@
 constexpr double kCapacityMb = 130;
 constexpr std::size_t kAdapterSlots = 2;
 
-/// A replica as the users' platform describes it.
+/// Simulates a replica of the hosting platform.
 struct ScriptedReplica {
   ReplicaId id;
   std::uint64_t orders_taken = 0;
   std::uint64_t sequence = 0;
   std::map<ModelName, std::set<std::string>> held;
   std::optional<ModelName> loading;
-  bool fell = false;
+  bool overfilled = false;
 
   std::size_t adapters() const {
     std::size_t count = 0;
@@ -35,7 +35,7 @@
     }
     return count;
   }
-  OrderOutcome take(const OrderReplicaEffect& order) {
+  OrderOutcome execute(const OrderReplicaEffect& order) {
     if (order.expected != orders_taken || (order.adapter.empty() && loading)) {
       return OrderOutcome::Conflict;
     }
@@ -43,16 +43,16 @@
       if (held.contains(order.model)) {
         return OrderOutcome::AlreadyHeld;
       }
-      fell =
-          fell || static_cast<double>(held.size() + 1) * 60 + static_cast<double>(adapters()) > kCapacityMb;
+      overfilled = overfilled ||
+                   static_cast<double>(held.size() + 1) * 60 + static_cast<double>(adapters()) > kCapacityMb;
       loading = order.model;
     } else if (order.adapter.empty()) {
       held.erase(order.model);
     } else if (!held.contains(order.model)) {
       return OrderOutcome::Refused;
     } else if (order.action == OrderAction::Load) {
-      const bool there = held[order.model].contains(order.adapter);
-      fell = fell || (!there && adapters() + 1 > kAdapterSlots);
+      const bool already_loaded = held[order.model].contains(order.adapter);
+      overfilled = overfilled || (!already_loaded && adapters() + 1 > kAdapterSlots);
       held[order.model].insert(order.adapter);
     } else {
       held[order.model].erase(order.adapter);
@@ -61,28 +61,28 @@
     return OrderOutcome::Taken;
   }
   wire::ReplicaReport report() {
-    wire::ReplicaReport told = makeReport(id.value, "llm", ++sequence);
+    wire::ReplicaReport message = makeReport(id.value, "llm", ++sequence);
     for (const auto& [model, names] : held) {
-      told.held.push_back({model, {names.begin(), names.end()}});
+      message.held.push_back({model, {names.begin(), names.end()}});
     }
-    return told;
+    return message;
   }
   ReplicaState state() const {
-    ReplicaState told;
-    told.orders_taken = orders_taken;
-    told.busy = loading.has_value();
+    ReplicaState message;
+    message.orders_taken = orders_taken;
+    message.busy = loading.has_value();
     for (const auto& [model, names] : held) {
-      told.held.push_back({model, {names.begin(), names.end()}});
+      message.held.push_back({model, {names.begin(), names.end()}});
     }
-    return told;
+    return message;
   }
 };
 
-/// Runs a placer in steps of 20 ms against some replicas.
-class PlacerWorld {
+/// Runs a placer against simulated replicas in steps of 20 ms.
+class PlacerSimulation {
  public:
-  PlacerWorld(std::size_t replicas, std::uint64_t seed, double unanswered)
-      : random_(seed), unanswered_(unanswered), placer_(settings(), registry_, demand_) {
+  PlacerSimulation(std::size_t replicas, std::uint64_t seed, double unanswered)
+      : random_(seed), unanswered_share_(unanswered), placer_(settings(), registry_, demand_) {
     for (std::size_t i = 0; i < replicas; ++i) {
       ScriptedReplica replica;
       replica.id = ReplicaId("r" + std::to_string(i));
@@ -92,7 +92,7 @@
     }
   }
 
-  void want(const std::string& model, const std::string& adapter, std::uint32_t waiting) {
+  void setDemand(const std::string& model, const std::string& adapter, std::uint32_t waiting) {
     wants_ = {{ServiceName("llm"), ModelName(model), adapter, waiting, 0, waiting}};
   }
 
@@ -101,12 +101,12 @@
       demand_.accept(NodeName("edge"), wants_, time_);
       demand_.fade(time_);
       handle(placer_.plan(catalog, unreachable, time_));
-      for (auto late = late_.begin(); late != late_.end();) {
-        if (late->first <= time_) {
-          find(late->second.replica).take(late->second);
-          late = late_.erase(late);
+      for (auto delayed = delayed_orders_.begin(); delayed != delayed_orders_.end();) {
+        if (delayed->first <= time_) {
+          find(delayed->second.replica).execute(delayed->second);
+          delayed = delayed_orders_.erase(delayed);
         } else {
-          ++late;
+          ++delayed;
         }
       }
       for (ScriptedReplica& replica : replicas_) {
@@ -124,7 +124,7 @@
   std::vector<ScriptedReplica>& replicas() { return replicas_; }
   std::size_t loads() const { return loads_; }
 
-  void want(std::vector<wire::ModelWant> wants) { wants_ = std::move(wants); }
+  void setDemand(std::vector<wire::ModelWant> wants) { wants_ = std::move(wants); }
   ModelPlacer& placer() { return placer_; }
   TimePoint now() const { return time_; }
   std::size_t copiesOf(const std::string& model) const {
@@ -157,37 +157,38 @@
       }
       const auto& order = std::get<OrderReplicaEffect>(effect);
       loads_ += order.action == OrderAction::Load && order.adapter.empty() ? 1 : 0;
-      if (random_.chance(unanswered_)) {
-        late_.emplace_back(time_ + 2s + Duration(random_.below(10'000'000'000)), order);
+      if (random_.chance(unanswered_share_)) {
+        delayed_orders_.emplace_back(time_ + 2s + Duration(random_.below(10'000'000'000)), order);
         placer_.onOrderDone(order.number, OrderOutcome::Unanswered, time_);
       } else {
-        placer_.onOrderDone(order.number, find(order.replica).take(order), time_);
+        placer_.onOrderDone(order.number, find(order.replica).execute(order), time_);
       }
     }
   }
 
   TimePoint time_{1000s};
   Random random_;
-  double unanswered_;
+  double unanswered_share_;
   ReplicaRegistry registry_;
   ModelDemand demand_;
   ModelPlacer placer_;
   std::vector<ScriptedReplica> replicas_;
   std::vector<wire::ModelWant> wants_;
-  std::deque<std::pair<TimePoint, OrderReplicaEffect>> late_;
+  std::deque<std::pair<TimePoint, OrderReplicaEffect>> delayed_orders_;
   std::size_t loads_ = 0;
 };
 
-TEST_CASE("A model that calls wait for is loaded where it fits") {
-  PlacerWorld world(1, 1, 0);
-  world.want("m1", "", 1);
+TEST_CASE("A missing model that calls wait for is loaded beside another one if it fits") {
+  PlacerSimulation world(1, 1, 0);
+  world.setDemand("m1", "", 1);
   world.run(5s);
   CHECK(world.replicas()[0].held.contains(ModelName("m1")));
   CHECK(world.replicas()[0].held.contains(ModelName("m0")));
 }
 
-/// The order names the replica and the count of orders taken, which are the same in both lives.
-TEST_CASE("A load that a replica's former life left unanswered keeps its room in the next life") {
+/// The order identifies the replica by its name and its count of accepted orders, which are the same in both
+/// incarnations.
+TEST_CASE("An unanswered load stays accounted for in the next incarnation of its replica") {
   ReplicaRegistry registry;
   ModelDemand demand;
   ModelPlacerSettings settings;
@@ -210,9 +211,9 @@
     return effects;
   };
   const auto report = [](std::uint64_t born, std::uint64_t sequence) {
-    wire::ReplicaReport told = makeReport("r1", "llm", sequence);
-    told.id = wire::replicaLife("r1", born);
-    return told;
+    wire::ReplicaReport message = makeReport("r1", "llm", sequence);
+    message.id = wire::replicaLife("r1", born);
+    return message;
   };
   TimePoint now{1000s};
   registry.accept(report(1000, 5), now);
@@ -220,7 +221,7 @@
   const PlacerEffects first = plan(now);
   REQUIRE(first.size() == 1);
   placer.onOrderDone(std::get<OrderReplicaEffect>(first[0]).number, OrderOutcome::Unanswered, now);
-  // It starts again, empty. Of its 130 MB 60 may be taken by the order that is on its way still.
+  // The replica restarts empty. The unanswered order may still take 60 of its 130 MB.
   now += 1s;
   registry.accept(report(2000, 1), now);
   demand.accept(router,
@@ -240,20 +241,20 @@
   CHECK_FALSE(plan(now + 13s).empty());
 }
 
-TEST_CASE("A model whose only holder can't be reached is loaded elsewhere at once") {
-  PlacerWorld world(2, 5, 0);
+TEST_CASE("A model whose only replica is unreachable is loaded elsewhere") {
+  PlacerSimulation world(2, 5, 0);
   world.replicas()[1].held.clear();
-  world.want("m0", "", 0);
+  world.setDemand("m0", "", 0);
   world.run(2s);
   CHECK(world.loads() == 0);
   world.unreachable = {ReplicaId("r0")};
-  world.want("m0", "", 1);
+  world.setDemand("m0", "", 1);
   world.run(5s);
   CHECK(world.loads() == 1);
   CHECK(world.replicas()[1].held.contains(ModelName("m0")));
 }
 
-/// Adds models m3 to m19 like those that the catalog has.
+/// Adds models m3 to m19, copies of the catalog's first model.
 void addModels(wire::ServiceCatalog& catalog) {
   for (wire::HostedService& service : catalog.services) {
     for (int i = 3; service.engine && i < 20; ++i) {
@@ -264,14 +265,15 @@
   }
 }
 
-wire::ModelWant wantOf(const std::string& model, std::uint32_t waiting, std::uint32_t running,
-                       std::uint32_t arrivals) {
+wire::ModelWant callCounts(const std::string& model, std::uint32_t waiting, std::uint32_t running,
+                           std::uint32_t arrivals) {
   return {ServiceName("llm"), ModelName(model), "", waiting, running, arrivals};
 }
 
-/// Rare models wanted one after the other take all loads that the store allows, if they go first.
-TEST_CASE("A crowded model gets another copy although rare models are wanted all the time") {
-  PlacerWorld world(4, 11, 0);
+/// If they had priority, rare models requested one after the other would use up all loads that the store
+/// allows.
+TEST_CASE("An overloaded model gets another copy despite constant requests for rare models") {
+  PlacerSimulation world(4, 11, 0);
   addModels(world.catalog);
   for (std::size_t i = 0; i < 4; ++i) {
     world.replicas()[i].held = {{ModelName("m" + std::to_string(2 * i)), {}},
@@ -279,22 +281,22 @@
   }
   constexpr int kTenths = 120;
   for (int tenth = 0; tenth < kTenths; ++tenth) {
-    std::vector<wire::ModelWant> wants = {wantOf("m0", 0, 5, 1)};
+    std::vector<wire::ModelWant> wants = {callCounts("m0", 0, 5, 1)};
     for (int i = 0; i < 4; ++i) {
-      wants.push_back(wantOf("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
+      wants.push_back(callCounts("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
     }
-    world.want(wants);
+    world.setDemand(wants);
     world.run(20ms);
     wants.front().arrivals = 0;
-    world.want(wants);
+    world.setDemand(wants);
     world.run(80ms);
   }
   CHECK(world.copiesOf("m0") >= 2);
   CHECK(world.loads() > 4);
 }
 
-TEST_CASE("A model for which two others must give way gets its room without a pause between") {
-  PlacerWorld world(1, 3, 0);
+TEST_CASE("Two models that must be evicted for one are unloaded without a pause between them") {
+  PlacerSimulation world(1, 3, 0);
   addModels(world.catalog);
   for (wire::HostedService& service : world.catalog.services) {
     for (std::size_t i = 0; service.engine && i < service.engine->models.size(); ++i) {
@@ -302,14 +304,14 @@
     }
   }
   world.replicas()[0].held = {{ModelName("m3"), {}}, {ModelName("m4"), {}}};
-  world.want("m9", "", 1);
-  world.run(4s);  // two reports of unloads and a load, of a second each on average
+  world.setDemand("m9", "", 1);
+  world.run(4s);  // reports of two unloads and a load, with a mean delay of one second each
   CHECK(world.placer().loadsBegun() >= 3);
   CHECK(world.loads() == 1);
 }
 
-TEST_CASE("It is told when a model that is missing should serve") {
-  PlacerWorld world(1, 12, 0);
+TEST_CASE("The expected time of a missing model is the end of its load") {
+  PlacerSimulation world(1, 12, 0);
   wire::HostedService& llm = *std::find_if(world.catalog.services.begin(), world.catalog.services.end(),
                                            [](const auto& service) { return service.engine.has_value(); });
   constexpr Duration load_time = 2s;
@@ -317,7 +319,7 @@
     model.store_load_ms = 2000;
   }
   CHECK_FALSE(world.placer().expectedAt(llm, ModelName("m1"), world.now()).has_value());
-  world.want("m1", "", 1);
+  world.setDemand("m1", "", 1);
   world.run(40ms);
   const std::uint64_t begun = world.placer().loadsBegun();
   CHECK(begun >= 1);
@@ -327,47 +329,48 @@
   CHECK(*expected > world.now() + load_time - 100ms);
 }
 
-TEST_CASE("A model that nobody wants gives way when there is no room") {
-  PlacerWorld world(1, 2, 0);
-  world.want("m1", "", 1);
+TEST_CASE("An idle model is evicted for a requested one if memory is full") {
+  PlacerSimulation world(1, 2, 0);
+  world.setDemand("m1", "", 1);
   world.run(5s);
-  world.want("m2", "", 1);
+  world.setDemand("m2", "", 1);
   world.run(10s);
   CHECK(world.replicas()[0].held.contains(ModelName("m2")));
-  CHECK_FALSE(world.replicas()[0].fell);
+  CHECK_FALSE(world.replicas()[0].overfilled);
 }
 
-TEST_CASE("An adapter is loaded beside its model, and the least wanted one gives way") {
-  PlacerWorld world(1, 3, 0);
+TEST_CASE("An adapter is loaded onto its model's replica, evicting the one with the least demand") {
+  PlacerSimulation world(1, 3, 0);
   for (const char* adapter : {"a1", "a2", "a3"}) {
-    world.want("m0", adapter, 1);
+    world.setDemand("m0", adapter, 1);
     world.run(2s);
     CHECK(world.replicas()[0].held[ModelName("m0")].contains(adapter));
   }
-  CHECK_FALSE(world.replicas()[0].fell);
+  CHECK_FALSE(world.replicas()[0].overfilled);
 }
 
-TEST_CASE("Loads from the store keep their rate") {
-  PlacerWorld world(30, 4, 0);
-  world.want("m1", "", 500);
+TEST_CASE("Loads from the weight store don't exceed the operator's rate") {
+  PlacerSimulation world(30, 4, 0);
+  world.setDemand("m1", "", 500);
   world.run(5s);
   CHECK(world.loads() <= 10);
   CHECK(world.loads() >= 5);
 }
 
-TEST_CASE("No order overfills a replica, though half of them are carried out late") {
+TEST_CASE("No order overfills a replica although half of the orders are executed late") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
-    PlacerWorld world(3, seed, 0.5);
+    PlacerSimulation world(3, seed, 0.5);
     Random random(seed);
     for (int i = 0; i < 40; ++i) {
-      const bool whole = random.chance(0.5);
-      world.want("m" + std::to_string(random.below(3)), whole ? "" : "a" + std::to_string(random.below(5)),
-                 1 + static_cast<std::uint32_t>(random.below(9)));
+      const bool whole_model = random.chance(0.5);
+      world.setDemand("m" + std::to_string(random.below(3)),
+                      whole_model ? "" : "a" + std::to_string(random.below(5)),
+                      1 + static_cast<std::uint32_t>(random.below(9)));
       world.run(1s);
     }
     for (const ScriptedReplica& replica : world.replicas()) {
-      CHECK_FALSE(replica.fell);
+      CHECK_FALSE(replica.overfilled);
     }
   }
 }
