--- a/src/tenancy/catalog_proof.cc
+++ b/src/tenancy/catalog_proof.cc
@@ -5,7 +5,7 @@
 namespace ferryrock::tenancy {
 namespace {
 
-/// Statuses whose sending is remembered: at four a second, more than any lifetime of a proof needs.
+/// Number of sent statuses that are kept: at four per second, more than any proof lifetime needs.
 constexpr std::size_t kRememberedStatuses = 64;
 
 }  // namespace
--- a/src/tenancy/catalog_proof.h
+++ b/src/tenancy/catalog_proof.h
@@ -10,24 +10,26 @@
 
 namespace ferryrock::tenancy {
 
-/// Until when a router's catalog is proved to be the newest. A leader that hears from a majority of the
-/// members, after it got a status of the router, that they still followed it proves that no change which it
-/// lacks was acknowledged before that status left. The router counts from the moment at which the status
-/// left, by its own clock, so that neither a delay on the way nor a frozen process stretches the proof. Used
-/// by one thread.
+/// Tracks until when a router's catalog is proven to be the newest. If a leader receives a status of the
+/// router and then gets confirmation from a majority of the members that they still follow it, no change that
+/// the leader lacks was acknowledged before the router sent that status. The proof starts at the time of
+/// sending, on the router's own clock, so that neither network delay nor a frozen process extends it. Not
+/// thread-safe.
 class CatalogProof {
  public:
-  /// lifetime: how long after an acknowledgement an older catalog may be obeyed; nullopt: for ever.
+  /// lifetime: how long after the acknowledgement of a newer catalog an older one may still be used; nullopt:
+  /// without limit.
   explicit CatalogProof(std::optional<Duration> lifetime) : lifetime_(lifetime) {}
 
   void onStatusSent(std::uint64_t sequence, TimePoint now);
-  /// The leader has confirmed the version after it got that status of this process; `held` is the version in
-  /// force here. Ignored for a version that isn't held and for a status that wasn't sent lately.
+  /// Handles the leader's confirmation of a catalog version, made after it received the status `sequence` of
+  /// this process; `held` is the version in force here. Ignored if `held` is older than the confirmed
+  /// version, or if no recent status has this sequence.
   void onConfirmed(std::uint64_t sequence, CatalogVersion confirmed, CatalogVersion held);
 
-  /// True while what the catalog says of keys may be obeyed.
+  /// True while the catalog may be used to check keys.
   bool holds(TimePoint now) const { return !lifetime_ || (proved_ && now < *proved_ + *lifetime_); }
-  /// When the status that the proof stands on was sent; nullopt: there is none yet.
+  /// When the status was sent on which the proof is based; nullopt: there is no proof yet.
   std::optional<TimePoint> provedAt() const { return proved_; }
   bool isNeeded() const { return lifetime_.has_value(); }
 
--- a/src/tenancy/key_table.h
+++ b/src/tenancy/key_table.h
@@ -8,29 +8,30 @@
 
 #include "wire/service_types.h"
 
-/// Who may call: tenants, their keys and what they may use. Logic only, without input, output or a clock.
+/// Authentication of callers: tenants, their keys and their quotas. Pure logic without I/O or a clock.
 namespace ferryrock::tenancy {
 
-/// What a call brought to prove who sent it.
+/// The credential that a call presented.
 struct Credential {
   enum class Form : std::uint8_t {
-    None,       ///< nothing
-    Malformed,  ///< something that no key can be, or more than one
+    None,
+    Malformed,  ///< not a well-formed key, or more than one credential
     Key,
   };
   Form form = Form::None;
-  std::string key;  ///< of Form::Key; never logged
+  std::string key;  ///< set for Form::Key; never logged
 };
 
-/// The tenants of one catalog by their keys. Immutable; the catalog must outlive it.
+/// Index from API keys to the tenants of one catalog. Immutable; the catalog must outlive it.
 class KeyTable {
  public:
   explicit KeyTable(const wire::ServiceCatalog& catalog);
 
-  /// False: the catalog has no tenants, so that keys mean nothing to the system.
+  /// False if the catalog has no tenant list, in which case keys are not checked.
   bool inUse() const { return in_use_; }
-  /// nullptr: no tenant holds the key. The time it takes doesn't tell how much of a key was right: places in
-  /// the index depend on a seed of this process, and texts of equal length are compared in constant time.
+  /// Returns nullptr if no tenant holds the key. The lookup time doesn't reveal how much of a key is right:
+  /// positions in the index depend on a per-process seed, and strings of equal length are compared in
+  /// constant time.
   const wire::Tenant* find(std::string_view key) const;
 
  private:
@@ -40,7 +41,8 @@
   };
   bool in_use_ = false;
   std::uint64_t seed_;
-  std::unordered_multimap<std::uint64_t, Entry> entries_;  ///< by the seeded hash of the key
+  /// Keyed by the seeded hash of the API key.
+  std::unordered_multimap<std::uint64_t, Entry> entries_;
 };
 
 }  // namespace ferryrock::tenancy
--- a/src/tenancy/quota_bucket.h
+++ b/src/tenancy/quota_bucket.h
@@ -7,22 +7,22 @@
 
 namespace ferryrock::tenancy {
 
-/// What a bucket holds, in the unit of the quota: tokens or calls.
+/// Capacity of a bucket, in the unit of the quota: tokens or calls.
 struct QuotaLimit {
   double per_second = 0;  ///< above 0
-  double burst = 0;       ///< on top, in any window
+  double burst = 0;       ///< allowed in any window in addition to the rate
   Duration window = std::chrono::seconds(8);
 };
 
-/// Credit of one tenant: what its limit allows in a window, less what was used in the one up to now. A tenant
-/// that rose from little use may have what it left unused at once: its calls are within its limit, and
-/// refusing them would only keep callers away from what they are owed. A charge may take the credit below
-/// zero, so that a call larger than all of it runs; nothing more is granted until it is above zero again.
-/// What is granted in any window is at most rate x window + burst + the largest single charge, whatever is
-/// given back. Used by one thread.
+/// Quota credit of one tenant: what its limit allows in a sliding window, less its usage in the window that
+/// ends now. A tenant whose load rises may use all its unused credit at once: these calls are within its
+/// limit, and refusing them would deny callers what the quota grants. A charge may take the credit below
+/// zero, so that a call larger than the available credit can run; nothing more is granted until the credit is
+/// above zero again. The total granted in any window is at most rate x window + burst + the largest single
+/// charge, whatever is refunded. Not thread-safe.
 class QuotaBucket {
  public:
-  /// What the level lacks to full credit is taken as used evenly in the window before.
+  /// The difference between full credit and `level` counts as used evenly over the preceding window.
   QuotaBucket(const QuotaLimit& limit, double level, TimePoint now)
       : limit_(limit),
         used_(limit.window),
@@ -31,7 +31,7 @@
         began_(now) {}
 
   void setLimit(const QuotaLimit& limit) { limit_ = limit; }
-  /// Takes the amount if there is credit.
+  /// Charges the amount and returns true if there is credit.
   bool grant(double amount, TimePoint now) {
     if (level(now) <= 0) {
       return false;
@@ -39,7 +39,7 @@
     used_.add(amount, now, now);
     return true;
   }
-  /// What was used already; below zero it is given back.
+  /// Charges usage that has already happened; a negative amount is a refund.
   void charge(double amount, TimePoint now) {
     if (amount >= 0) {
       used_.add(amount, now, now);
@@ -47,12 +47,14 @@
       used_.takeBack(-amount, now);
     }
   }
-  /// What was used under an earlier leader, as the router tells that let it run.
+  /// Adds usage from before this bucket started, under an earlier leader, as reported by the router that ran
+  /// it.
   void addPast(double amount, TimePoint at, TimePoint now) { told_.add(amount, at, now); }
-  /// The share of what ran before the bucket began that nobody tells, 1 at first: it is assumed as used.
+  /// Sets the share, initially 1, of the usage before the bucket's start that no router has reported. That
+  /// share is assumed to have been used.
   void setUntold(double share) { untold_ = share; }
   double level(TimePoint now) { return full() - before(now) - used_.sum(now); }
-  /// Until there is credit again, if nothing is used meanwhile.
+  /// Time until there is credit again if nothing is used in the meantime.
   Duration untilCredit(TimePoint now) {
     const double missing = -level(now);
     if (missing <= 0) {
@@ -68,9 +70,9 @@
 
  private:
   double full() const { return limit_.per_second * toSeconds(limit_.window) + limit_.burst; }
-  /// What ran before the bucket began and counts still: what is told, and the untold share of what is
-  /// assumed. In all no more than the larger of the two, so that a leader that has heard few routers yet
-  /// doesn't count their part twice.
+  /// Usage from before the bucket's start that still counts: the reported usage plus the unreported share of
+  /// the assumed usage. It is capped at the larger of the two, so that a leader with reports from few routers
+  /// doesn't count the usage of these twice.
   double before(TimePoint now) {
     const double told = told_.sum(now);
     const double all = assumed(now);
@@ -83,8 +85,8 @@
 
   QuotaLimit limit_;
   UsageWindow used_;
-  UsageWindow told_;    ///< what ran before the bucket began
-  double assumed_ = 0;  ///< as used in the window before the bucket began
+  UsageWindow told_;    ///< reported usage from before the bucket's start
+  double assumed_ = 0;  ///< usage assumed in the window before the bucket's start
   double untold_ = 1;
   TimePoint began_;
 };
--- a/src/tenancy/quota_client.cc
+++ b/src/tenancy/quota_client.cc
@@ -7,21 +7,22 @@
 
 using namespace std::chrono_literals;
 
-/// Charges are told together, this long after the first of them.
+/// Charges are reported in batches, this long after the first one of a batch.
 constexpr Duration kChargeInterval = 50ms;
-/// Totals are told again for this long after their last change, in case a message is lost.
+/// Totals are reported again for this long after their last change, in case a message is lost.
 constexpr Duration kToldAgainFor = 1s;
-/// A leader tells each router something every 250 ms; one that is silent for longer may be gone. What runs
-/// uncharged meanwhile is bounded by this: at 4 times the rate, 2.8 s of it.
+/// A leader sends each router a message every 250 ms and may be gone if it is silent for longer than this.
+/// The timeout bounds the usage that is not charged in the meantime: at 4 times the rate, 2.8 s of it.
 constexpr Duration kLeaderSilence = 700ms;
-/// An answer takes about 5 ms. A leader that is busy or gone isn't waited for any longer.
+/// A response takes about 5 ms. After this timeout the router no longer waits for a leader that is overloaded
+/// or gone.
 constexpr Duration kAnswerLimit = 250ms;
-/// For so long without a leader a router knows what leaves the window: a cell is without one for 3 s as a
-/// rule.
+/// Longest time without a leader for which a router knows the usage that leaves the window; a cell is usually
+/// without a leader for 3 s.
 constexpr Duration kLongestSilence = 30s;
-/// Until a cell has a leader again, as measured after a leader was killed: 3 s.
+/// Time from the loss of a leader until the cell has a new one: 3 s.
 constexpr double kLeaderlessSeconds = 3;
-/// A tenant may come at this multiple of its rate while nobody counts over all routers.
+/// Multiple of its rate at which a tenant may send calls while no leader counts its usage over all routers.
 constexpr double kHotTenant = 4;
 constexpr Duration kComeBack = 1s;
 
@@ -68,7 +69,7 @@
   remember(tenant, amount, now);
 }
 
-/// What is given back is taken from the oldest second, so that no leader counts less than what ran.
+/// A refund is deducted from the oldest second, so that no leader counts less usage than there was.
 void QuotaClient::remember(const TenantName& tenant, std::int64_t amount, TimePoint now) {
   auto& by_second = spent_[tenant].by_second;
   const std::int64_t second = now.time_since_epoch() / kHistorySlot;
@@ -95,7 +96,7 @@
   };
   std::int64_t sum = 0;
   for (const auto& [second, used] : spent->second.by_second) {
-    // A second has left the window once its end has.
+    // A second has left the window once its end has left it.
     sum += second >= slotsUpTo(from) && second < slotsUpTo(to) ? used : 0;
   }
   return static_cast<double>(sum);
@@ -140,9 +141,10 @@
   }
 }
 
-/// Grants what has left the window of this router's own uses since the leader was last heard: over all
-/// routers that is what the leader would have had to grant again, however full the tenant's window was.
-/// Beyond that, by chance and over all routers, kLeaderlessPart of what the tolerance allows.
+/// Grants the usage of this router that has left the window since the last contact with the leader: over all
+/// routers, this is what the leader would have had to grant again, however full the tenant's window was.
+/// Beyond that, calls are granted at random, so that all routers together grant kLeaderlessPart of what the
+/// tolerance allows.
 QuotaReply QuotaClient::decideAlone(const TenantName& tenant, const wire::TenantQuota& quota,
                                     std::int64_t cost, TimePoint now) {
   const auto [found, first] = own_parts_.try_emplace(tenant, OwnPart{0, leader_heard_.value_or(now)});
@@ -206,7 +208,7 @@
   for (auto& [number, ask] : asks_) {
     if (!ask.abandoned && now - ask.since >= kAnswerLimit) {
       resolved.push_back({number, decideAlone(ask.tenant, ask.quota, ask.cost, now)});
-      // What the leader may still grant is given back.
+      // Credit that the leader may still grant is refunded.
       ask.abandoned = true;
     }
   }
@@ -229,7 +231,7 @@
   use.sequence = ++sequence_;
   use.whole = whole_due_;
   use.history_ms = began_ ? toMilliseconds(now - *began_) : 0;
-  // What was charged up to now stands in the totals that the leader takes as given.
+  // Charges up to now are part of the totals that the new leader accepts as its baseline.
   account_ += whole_due_ ? 1 : 0;
   for (const auto& [tenant, spent] : spent_) {
     if (whole_due_ || now - spent.changed <= kToldAgainFor) {
--- a/src/tenancy/quota_client.h
+++ b/src/tenancy/quota_client.h
@@ -21,30 +21,30 @@
   std::uint64_t seed = 1;
 };
 
-/// Whether a call's credit is there.
+/// Decision on a call's quota credit.
 enum class QuotaVerdict : std::uint8_t {
   Granted,
-  Asked,        ///< the leader decides; resolved later
+  Asked,        ///< the leader decides; the outcome is returned later
   Spent,        ///< the tenant's quota is used up
-  Unavailable,  ///< no leader decides, and this router's part for such times is used up
+  Unavailable,  ///< there is no leader, and this router's local share is used up
 };
 
 struct QuotaReply {
   QuotaVerdict verdict = QuotaVerdict::Granted;
   std::optional<Duration> retry_after;
-  /// The account that a granted call was charged to, for giveBack(): one for each leader, from the message on
-  /// that told it this router's totals.
+  /// Account that a granted call was charged to, passed to giveBack(). A new account begins with the first
+  /// message that reports this router's totals to a new leader.
   std::uint64_t account = 0;
 };
 
-/// The reply to an ask.
+/// Outcome of a credit request that was pending.
 struct QuotaResolved {
   std::uint64_t number = 0;
   QuotaReply reply;
 };
 
-/// One router's part in the tenants' quotas; the leader's is QuotaLedger. While no leader is heard it grants
-/// its part of the rate by itself. Used by one thread.
+/// Router side of the tenants' quotas; the leader's side is QuotaLedger. Without contact to a leader, the
+/// router grants its local share of the rate by itself. Not thread-safe.
 class QuotaClient {
  public:
   explicit QuotaClient(const QuotaClientSettings& settings) : settings_(settings), random_(settings.seed) {}
@@ -52,23 +52,23 @@
   /// Cost of a call in the quota's unit.
   static std::int64_t costOf(const wire::TenantQuota& quota, std::optional<std::uint64_t> tokens);
 
-  /// number: the call's, never used again. The tenant has a quota.
+  /// number: identifies the call and is never reused. The tenant must have a quota.
   QuotaReply request(std::uint64_t number, const wire::Tenant& tenant, std::int64_t cost, TimePoint now);
-  /// A call that was granted its credit is run once more. What this router may grant without a leader shrinks
-  /// by it.
+  /// Charges another run of a call whose credit was granted before. The cost also reduces what this router
+  /// may grant without a leader.
   void chargeAgain(const TenantName& tenant, std::int64_t cost, TimePoint now);
-  /// A call that was granted its credit has certainly not run and won't. If another account is open by now,
-  /// nothing is given back: that account never charged the call.
+  /// Refunds a call that has certainly not run and won't. Nothing is refunded if another account is open by
+  /// now, as that account never charged the call.
   void giveBack(const TenantName& tenant, std::int64_t cost, std::uint64_t account, TimePoint now);
-  /// The call that asked has ended; what may still be granted to it is given back.
+  /// Ends a call whose credit request is pending; credit that is still granted to it is refunded.
   void abandon(std::uint64_t number);
 
-  /// The leader tells who is limited.
+  /// Applies the leader's update, which lists the limited tenants.
   void onUpdate(const NodeName& leader, const wire::ServiceUpdate& update, TimePoint now);
   std::vector<QuotaResolved> accept(const wire::QuotaAnswer& answer, TimePoint now);
-  /// Asks that the leader hasn't answered in time are decided here.
+  /// Decides locally the requests that the leader hasn't answered within the timeout.
   std::vector<QuotaResolved> tick(TimePoint now);
-  /// What the leader is to hear now.
+  /// The message that is due to the leader, if any.
   std::optional<wire::QuotaUse> message(const NodeName& leader, TimePoint now);
   TimePoint nextDeadline() const;
 
@@ -76,28 +76,28 @@
   struct Spent {
     std::int64_t total = 0;
     TimePoint changed{};
-    std::map<std::int64_t, std::int64_t>
-        by_second;  ///< what ran, by whole seconds, as far as a window reaches
+    /// Usage by whole seconds, for the length of a window and of the longest time without a leader.
+    std::map<std::int64_t, std::int64_t> by_second;
   };
   struct Ask {
     TenantName tenant;
     wire::TenantQuota quota;
     std::int64_t cost = 0;
     TimePoint since{};
-    std::uint64_t account = 0;  ///< that the leader charges if it grants
+    std::uint64_t account = 0;  ///< account that the leader charges if it grants the request
     bool sent = false;
     bool abandoned = false;
   };
-  /// What this router may grant while no leader is heard.
+  /// Credit that this router may grant without contact to a leader.
   struct OwnPart {
     double level = 0;
     TimePoint at{};
   };
 
   bool leaderSilent(TimePoint now) const;
-  /// Keeps in mind what ran, for the next leader.
+  /// Records usage by seconds, for the next leader.
   void remember(const TenantName& tenant, std::int64_t amount, TimePoint now);
-  /// What this router ran for the tenant and what left the window between the two moments.
+  /// Usage of the tenant at this router that left the window between the two times.
   double rolledOff(const TenantName& tenant, TimePoint from, TimePoint to) const;
   std::vector<std::int64_t> recent(const Spent& spent, TimePoint now) const;
   void spend(const TenantName& tenant, std::int64_t amount, TimePoint now);
@@ -115,8 +115,8 @@
   std::map<std::uint64_t, Ask> asks_;
   std::map<TenantName, OwnPart> own_parts_;
   std::uint64_t sequence_ = 0;
-  std::uint64_t account_ = 0;  ///< see QuotaReply
-  bool whole_due_ = false;     ///< the leader is new and knows no totals of this router
+  std::uint64_t account_ = 0;  ///< see QuotaReply::account
+  bool whole_due_ = false;     ///< the leader is new and has no totals of this router
   bool asks_due_ = false;
   TimePoint charges_due_ = TimePoint::max();
 };
--- a/src/tenancy/quota_ledger.cc
+++ b/src/tenancy/quota_ledger.cc
@@ -10,13 +10,14 @@
 using namespace std::chrono_literals;
 
 /// Credit, as a share of the burst, below which a tenant is limited. A tenant at 3.3 times its rate uses up
-/// the other half in 0.2 s, about what the charges and the word to all of 300 routers take (50 ms and 75 ms).
+/// the other half in 0.2 s, which is about the time that charges and the update to all of 300 routers take
+/// (50 ms and 75 ms).
 constexpr double kLimitedBelow = 0.5;
-/// Credit from which it isn't any more.
+/// Credit, as a share of the burst, from which a tenant is no longer limited.
 constexpr double kFreeFrom = 0.9;
-/// A tenant stays limited for this long at least: each change is told to every router.
+/// Minimum time for which a tenant stays limited, since each change is sent to every router.
 constexpr Duration kLimitedFor = 10s;
-/// Callers that were refused are told to come back no later than this, however many wait.
+/// Longest retry time for refused callers, however many of them wait.
 constexpr Duration kLongestPromise = 5s;
 
 }  // namespace
@@ -34,7 +35,7 @@
       known->second.bucket.setLimit(limit);
       continue;
     }
-    // What an earlier leader granted of these is in no account of this one.
+    // The first catalog's tenants may have usage granted by an earlier leader that this ledger doesn't know.
     const double level =
         first_catalog_ ? kNewLeaderPart * allowedBeyond(tolerance_, *tenant.quota) : limit.burst;
     Account account{QuotaBucket(limit, level, first_catalog_ ? began_ : now)};
@@ -88,9 +89,10 @@
   }
 }
 
-/// By the router's seconds, of which the first has begun and isn't over. What a second holds counts from its
-/// end on, so that it counts long enough; where the seconds begin isn't told, so that each may have ended up
-/// to a whole one later than its number says.
+/// Amounts are listed by seconds of the router's clock, latest first; the first of these is still in
+/// progress. The usage of a second counts from the end of that second, so that it counts for a whole window.
+/// The history doesn't contain where the seconds begin, so that each may have ended up to one second later
+/// than its position implies.
 void QuotaLedger::takeHistory(const wire::QuotaHistory& history, TimePoint now) {
   const auto account = accounts_.find(history.tenant);
   if (account == accounts_.end()) {
@@ -129,8 +131,8 @@
   return decision;
 }
 
-/// Callers that are refused one after the other are told one moment after the other, at the pace at which
-/// credit comes, so that they don't return together.
+/// Callers that are refused in succession get successive retry times, spaced by the rate at which credit
+/// returns, so that they don't retry all at once.
 Duration QuotaLedger::promise(Account& account, double amount, TimePoint now) {
   const TimePoint credit = now + account.bucket.untilCredit(now);
   const TimePoint told = std::min(std::max(credit, account.promised), now + kLongestPromise);
@@ -139,9 +141,9 @@
   return told - now;
 }
 
-/// A new leader begins with little credit for every tenant. It waits until that is used up: if the calls of
-/// all tenants asked it while it also sends each router its first table, none would be answered in time
-/// (300 routers: 17 in 100 calls refused).
+/// A new leader starts with little credit for every tenant, and limits a tenant only when that credit is used
+/// up. Otherwise the calls of all tenants would request credit while the leader also sends each router its
+/// first table, and none would be answered in time (300 routers: 17 in 100 calls refused).
 bool QuotaLedger::isShort(Account& account, TimePoint now) {
   const double share = account.bucket.level(now) / account.bucket.limit().burst;
   account.filling = account.filling && share < kLimitedBelow;
--- a/src/tenancy/quota_ledger.h
+++ b/src/tenancy/quota_ledger.h
@@ -13,36 +13,37 @@
 
 namespace ferryrock::tenancy {
 
-/// Counts for metrics, over all tenants, in the quotas' units.
+/// Counters for metrics, over all tenants, in the units of their quotas.
 struct QuotaCounts {
-  double charged = 0;  ///< told by routers as used, less what they gave back
-  double granted = 0;  ///< to calls that waited for it
+  double charged = 0;  ///< usage reported by routers, less refunds
+  double granted = 0;  ///< credit granted to calls that requested it
   std::uint64_t refused = 0;
 };
 
-/// One leader's account of what tenants use over all routers. Calls of a tenant with much credit run at once
-/// and are charged by totals that routers tell every kChargeInterval; once its credit is below half, the
-/// tenant is limited: routers ask before each call, so that nothing is granted beyond the credit. Used by one
-/// thread.
+/// Leader side of the tenants' quotas: usage over all routers. Calls of a tenant with much credit run at once
+/// and are charged through the totals that routers report every kChargeInterval. Once a tenant's credit is
+/// below half of its burst, the tenant is limited: routers request credit before each call, so that nothing
+/// is granted beyond the credit. Not thread-safe.
 class QuotaLedger {
  public:
   QuotaLedger(const QuotaTolerance& tolerance, TimePoint now) : tolerance_(tolerance), began_(now) {}
 
-  /// Takes the limits of a catalog; a lower one holds at once, a tenant that is new begins with all of it.
+  /// Applies the limits of a catalog. A lower limit takes effect at once; a tenant that is added later starts
+  /// with its whole burst as credit.
   void setCatalog(const wire::ServiceCatalog& catalog, TimePoint now);
-  /// The answer lists a decision for each ask.
+  /// Applies a router's message; the response has a decision for each credit request.
   wire::QuotaAnswer accept(const wire::QuotaUse& use, TimePoint now);
-  /// Finds out which tenants are limited; true if that has changed.
+  /// Updates the list of limited tenants; returns true if it has changed.
   bool refresh(TimePoint now);
   const std::vector<TenantName>& limited() const { return limited_; }
-  /// Forgets totals of routers that are gone.
+  /// Removes the totals of routers that are gone.
   template <class Routers>
   void keepRouters(const Routers& routers) {
     std::erase_if(routers_, [&routers](const auto& item) { return !routers.contains(item.first); });
   }
-  /// routers: those that were heard within the last window, as far as all_heard says so. The history of those
-  /// that are gone, or have started since, isn't known: that share of the window before this leader is
-  /// assumed as used.
+  /// Updates the share of routers whose history is missing. routers: those from which a message was received
+  /// within the last window; all_heard: that list is complete. The history of a router that is gone, or has
+  /// restarted since, is unknown: its share of the window before this leader is assumed to have been used.
   template <class Routers>
   void followRouters(const Routers& routers, bool all_heard) {
     std::size_t told = 0;
@@ -59,30 +60,30 @@
   struct Account {
     QuotaBucket bucket;
     bool limited = false;
-    bool of_new_leader = false;  ///< what ran before is known by what routers tell alone
-    bool filling = false;        ///< of a new leader, that hasn't seen half of the credit yet
+    bool of_new_leader = false;  ///< earlier usage is known from the routers' reports only
+    bool filling = false;        ///< set for a new leader until the credit reaches half of the burst
     TimePoint limited_since{};
-    TimePoint promised{};  ///< credit up to then is told to callers that were refused
+    TimePoint promised{};  ///< retry times up to this one have been given to refused callers
   };
   struct RouterTotals {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     std::map<TenantName, std::int64_t> totals;
     bool told_history = false;
-    Duration history{};  ///< before this leader began
+    Duration history{};  ///< time before this leader's start that the history covers
   };
 
   void charge(RouterTotals& known, const wire::QuotaSpent& spent, bool baseline, TimePoint now);
   void takeHistory(const wire::QuotaHistory& history, TimePoint now);
   void setUntold(double share);
   wire::QuotaDecision decide(const wire::QuotaAsk& ask, TimePoint now);
-  /// True if the tenant's calls have to ask.
+  /// True if the tenant's calls have to request credit.
   static bool isShort(Account& account, TimePoint now);
   static Duration promise(Account& account, double amount, TimePoint now);
 
   QuotaTolerance tolerance_;
   TimePoint began_;
-  double untold_ = 1;  ///< share of the routers whose history isn't known
+  double untold_ = 1;  ///< share of the routers whose history is unknown
   bool first_catalog_ = true;
   std::map<TenantName, Account> accounts_;
   std::vector<TenantName> limited_;
--- a/src/tenancy/quota_tolerance.h
+++ b/src/tenancy/quota_tolerance.h
@@ -6,7 +6,7 @@
 
 namespace ferryrock::tenancy {
 
-/// By how much all routers together may pass a quota: what a tenant runs within any window stays below
+/// Tolerance by which all routers together may exceed a quota: a tenant's usage in any window stays below
 /// (rate x window + burst) x (1 + overshoot) + slack.
 struct QuotaTolerance {
   Duration window = std::chrono::seconds(8);
@@ -14,25 +14,27 @@
   double slack = 0;  ///< in the quota's unit
 };
 
-/// What the tolerance allows beyond the quota, in the quota's unit.
+/// Usage that the tolerance allows beyond the quota, in the quota's unit.
 inline double allowedBeyond(const QuotaTolerance& tolerance, const wire::TenantQuota& quota) {
   return tolerance.overshoot * (quota.per_second * toSeconds(tolerance.window) + quota.burst) +
          tolerance.slack;
 }
 
-/// Routers keep in mind what ran by slots of this length, for the next leader.
+/// Length of the slots in which routers record usage for the next leader.
 constexpr Duration kHistorySlot = std::chrono::seconds(1);
 
-/// Parts of allowedBeyond(), each held back for one way in which the leader's account lags behind what runs;
-/// together below 1. The rest is left to calls larger than the credit at hand and to clocks.
-/// Held in hand by a full bucket, so that calls which reach the leader bunched aren't refused.
+// Shares of allowedBeyond(), each reserved for one way in which the leader's account lags behind the actual
+// usage. Their sum is below 1; the rest covers calls larger than the available credit, and clock error.
+
+/// Extra credit of a full bucket, so that calls which reach the leader in bursts aren't refused.
 constexpr double kBurstPart = 0.35;
-/// With a new leader, that doesn't know what earlier ones granted in the window before it.
+/// Initial credit at a new leader, which doesn't know what earlier leaders granted in the preceding window.
 constexpr double kNewLeaderPart = 0.15;
-/// Granted by routers on their own while they hear no leader, beside each one's part of the rate.
+/// Credit granted locally by routers without contact to a leader, in addition to their local shares of the
+/// rate.
 constexpr double kLeaderlessPart = 0.2;
 
-/// The limit that the leader keeps for a quota.
+/// Limit that the leader applies for a quota.
 inline QuotaLimit limitFor(const wire::TenantQuota& quota, const QuotaTolerance& tolerance) {
   return {quota.per_second, quota.burst + kBurstPart * allowedBeyond(tolerance, quota), tolerance.window};
 }
--- a/src/tenancy/usage_window.h
+++ b/src/tenancy/usage_window.h
@@ -6,26 +6,27 @@
 
 namespace ferryrock::tenancy {
 
-/// What was used in the time up to now, as far as the window reaches. Entries are kept by slots, and each one
-/// counts until the last use in its slot has left the window. Used by one thread.
+/// Usage within a sliding window that ends now. Usage is aggregated in slots; a slot counts until its end has
+/// left the window. Not thread-safe.
 class UsageWindow {
  public:
   explicit UsageWindow(Duration window) : window_(window) {}
 
-  /// Uses are told in any order; those that have left the window are dropped.
+  /// Usage may be added in any order of time; usage that has already left the window is dropped.
   void add(double amount, TimePoint at, TimePoint now);
-  /// Takes back what wasn't used after all, from the oldest entries, so that never less counts than was used.
+  /// Refunds unused amounts, from the oldest slots first, so that the sum never falls below the actual usage.
   void takeBack(double amount, TimePoint now);
   double sum(TimePoint now);
-  /// When the sum will have fallen by the amount if nothing is added; the end of the window at the latest.
+  /// Time at which the sum has fallen by the amount if nothing is added; the end of the window at the latest.
   TimePoint fallsBy(double amount, TimePoint now);
 
-  /// Beyond what a tenant's whole window holds, 80 entries a tenant.
+  /// Length of a slot, by which usage may count longer than the window; 80 slots per tenant for a window of 8
+  /// s.
   static constexpr Duration kSlot = std::chrono::milliseconds(100);
 
  private:
   struct Slot {
-    TimePoint end{};  ///< of the slot
+    TimePoint end{};
     double amount = 0;
   };
 
--- a/tests/tenancy/key_table_test.cc
+++ b/tests/tenancy/key_table_test.cc
@@ -19,7 +19,7 @@
   return tenant;
 }
 
-TEST_CASE("A key leads to the tenant that holds it, whole keys only") {
+TEST_CASE("A lookup finds the tenant that holds the key and matches whole keys only") {
   const wire::ServiceCatalog catalog = catalogOf({tenant("a", {"key-1", "key-2"}), tenant("b", {"key-3"})});
   const KeyTable keys(catalog);
   CHECK(keys.inUse());
@@ -31,7 +31,7 @@
   }
 }
 
-TEST_CASE("Keys mean something as soon as a catalog names tenants, also when none is left") {
+TEST_CASE("Keys are checked as soon as the catalog has a tenant list, even an empty one") {
   CHECK_FALSE(KeyTable(wire::ServiceCatalog{}).inUse());
   CHECK(KeyTable(catalogOf({})).inUse());
   const wire::ServiceCatalog without_keys = catalogOf({tenant("a", {})});
--- a/tests/tenancy/quota_history_test.cc
+++ b/tests/tenancy/quota_history_test.cc
@@ -4,7 +4,7 @@
 #include "tenancy/quota_client.h"
 #include "tenancy/quota_ledger.h"
 
-/// What routers tell a new leader of the window before it: nothing of it may count for less than a window.
+/// Usage history that routers report to a new leader: usage must count for at least a whole window.
 namespace ferryrock::tenancy {
 namespace {
 
@@ -23,7 +23,7 @@
   return catalog;
 }
 
-/// Whether the ledger grants a token, asked by another router.
+/// Requests a token from another router; true if the ledger grants it.
 bool grants(QuotaLedger& ledger, std::uint64_t number, TimePoint at) {
   wire::QuotaUse ask;
   ask.router = NodeName("edge-2");
@@ -34,7 +34,7 @@
   return ledger.accept(ask, at).decisions.at(0).granted;
 }
 
-TEST_CASE("What ran before a leader began counts until it has left the window, wherever a second began") {
+TEST_CASE("Usage from before a leader's start counts for a whole window, at any offset within a second") {
   constexpr double kPerSecond = 1000;
   const auto used_at = GENERATE(0ms, 100ms, 500ms, 900ms, 999ms);
   const auto told_after = GENERATE(20ms, 600ms, 1150ms, 3980ms);
@@ -59,11 +59,11 @@
   constexpr bool kAllHeard = true;
   next.followRouters(std::map<NodeName, int>{{NodeName("edge-1"), 0}}, kAllHeard);
   std::uint64_t asked = 0;
-  INFO("used at " << used_at.count() << " ms, told " << told_after.count() << " ms later");
+  INFO("used at " << used_at.count() << " ms, reported " << told_after.count() << " ms later");
   for (TimePoint at = told + 10ms; at < used + 8s; at += 70ms) {
     REQUIRE_FALSE(grants(next, ++asked, at));
   }
-  // A second is told whole and not where it began, and the leader keeps slots of a tenth.
+  // The history has whole seconds without their start, and the leader's slots are a tenth of a second long.
   CHECK(grants(next, ++asked, used + 8s + 2100ms));
 }
 
--- a/tests/tenancy/quota_load_test.cc
+++ b/tests/tenancy/quota_load_test.cc
@@ -3,21 +3,20 @@
 
 #include "tenancy/quota_world.h"
 
-/// What tenants get of their quotas over many routers, and that no more runs than the tolerance allows.
+/// Quotas over many routers: tenants get their quota, and usage stays within the tolerance.
 namespace ferryrock::tenancy {
 namespace {
 
 using namespace std::chrono_literals;
 
-/// A tenant within its limit and one at six times its usual share of it, before 87 routers.
+/// Load of a tenant over 87 routers: within its limit, or at six times its usual rate.
 struct LoadCase {
   const char* name;
   double per_second;
   double calls_per_second;
 };
 
-TEST_CASE(
-    "A call within its tenant's limit is never refused, whatever the tenant's size, while a leader counts") {
+TEST_CASE("With a leader, a call within its tenant's limit is never refused, whatever the tenant's size") {
   const auto load = GENERATE(LoadCase{"large", 180'000, 61}, LoadCase{"small", 2'700, 0.9});
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(load.per_second, load.per_second);
@@ -28,7 +27,7 @@
   CHECK(world.refused_within == 0);
 }
 
-TEST_CASE("A tenant at six times its usual gets its quota and no more") {
+TEST_CASE("A tenant at six times its usual rate gets its quota and no more") {
   const auto load = GENERATE(LoadCase{"large", 180'000, 370}, LoadCase{"small", 2'700, 5.5});
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(load.per_second, load.per_second);
@@ -40,10 +39,10 @@
   CHECK(world.most(8s) >= 0.9 * load.per_second * 8);
 }
 
-/// The load of a tenant that sends at half of its limit and rises to 3.3 times it. What callers get in the
-/// first two seconds of the rise, of what the limit allows in them: rate x window + burst less what ran in
-/// the window before.
-TEST_CASE("A tenant that rises has what it left unused of its limit, at once") {
+/// A tenant sends at half of its limit and rises to 3.3 times the limit. In the first two seconds of the
+/// rise, callers get what the limit allows in them: rate x window + burst, less the usage in the preceding
+/// window.
+TEST_CASE("A tenant whose rate rises can use its unused credit at once") {
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(180'000, 0);
   QuotaWorld world(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
@@ -56,7 +55,9 @@
   CHECK(world.most(8s) <= allowed(tenant, kTolerance));
 }
 
-TEST_CASE("A quota holds when the leader is lost before, while or after a tenant sends six times its usual") {
+TEST_CASE(
+    "A quota holds if the leader is lost before, during or after a tenant's rise to six times its usual "
+    "rate") {
   const auto load = GENERATE(LoadCase{"large", 180'000, 370}, LoadCase{"small", 2'700, 5.5});
   const auto lost_at = GENERATE(-200ms, 0ms, 300ms, 1000ms, 3000ms);
   const auto seed = GENERATE(range(1, 7));
@@ -74,15 +75,15 @@
   CHECK(world.most(8s) <= allowed(tenant, kTolerance));
 }
 
-/// Each ask of a call holds it up and is work for a leader that has just begun.
-TEST_CASE("After a leader's loss the calls of tenants within their limits don't ask the new one") {
+/// Each credit request delays its call and adds load to a leader that has just started.
+TEST_CASE("Calls of tenants within their limits request no credit from a new leader") {
   const wire::Tenant tenant = limitedTenant(180'000, 180'000);
   QuotaWorld world(87, tenant, kTolerance, 3);
   world.run(6s, 61, 1'630);
   world.loseLeader();
   world.run(1s, 61, 1'630);
   world.elect();
-  world.run(200ms, 61, 1'630);  // the routers hear of it
+  world.run(200ms, 61, 1'630);  // the routers receive the new leader's updates
   world.verdicts.clear();
   world.run(10s, 61, 1'630);
   CHECK(world.verdicts[QuotaVerdict::Asked] == 0);
--- a/tests/tenancy/quota_test.cc
+++ b/tests/tenancy/quota_test.cc
@@ -29,7 +29,7 @@
   client.giveBack(tenant, cost, reply.account, now);
 }
 
-TEST_CASE("What a bucket grants in any window stays within rate x window + burst + one call") {
+TEST_CASE("The credit granted in any window stays within rate x window + burst + one call") {
   CHECK(rc::check([] {
     const QuotaLimit limit{*rc::gen::inRange(1, 50) * 100.0, *rc::gen::inRange(0, 50) * 100.0};
     QuotaBucket bucket(limit, limit.burst, kStart);
@@ -43,7 +43,7 @@
       if (bucket.grant(amount, now)) {
         granted.push_back({now, amount});
         largest = std::max(largest, amount);
-        if (*rc::gen::inRange(0, 4) == 0) {  // it never ran
+        if (*rc::gen::inRange(0, 4) == 0) {  // refund of a call that never ran
           granted.pop_back();
           bucket.charge(-amount, now);
         }
@@ -55,9 +55,9 @@
   }));
 }
 
-TEST_CASE("A bucket that is below zero tells when there is credit again") {
+TEST_CASE("A bucket with negative credit gives the time until there is credit again") {
   QuotaBucket bucket({100, 50}, 50, kStart);
-  CHECK(bucket.grant(250, kStart));  // larger than the burst, and granted all the same
+  CHECK(bucket.grant(250, kStart));  // granted although it is larger than the burst
   CHECK_FALSE(bucket.grant(1, kStart));
   CHECK(bucket.untilCredit(kStart) == 2s);
   CHECK_FALSE(bucket.grant(1, kStart + 1999ms));
@@ -74,21 +74,21 @@
   return use;
 }
 
-TEST_CASE("A total that comes twice, late or after a lost one is charged once") {
+TEST_CASE("A total that is duplicated, late or preceded by a lost message is charged once") {
   QuotaLedger ledger({}, kStart);
   ledger.setCatalog(catalogOf(limitedTenant(1000, 1000)), kStart);
-  ledger.accept(use(1, 700, true), kStart);  // used before this leader
+  ledger.accept(use(1, 700, true), kStart);  // baseline: usage from before this leader
   CHECK(ledger.counts().charged == 0);
   ledger.accept(use(2, 800), kStart);
   ledger.accept(use(2, 800), kStart);
   ledger.accept(use(4, 1000), kStart);
   ledger.accept(use(3, 900), kStart);
   CHECK(ledger.counts().charged == 300);
-  ledger.accept(use(5, 950), kStart);  // given back
+  ledger.accept(use(5, 950), kStart);  // refund
   CHECK(ledger.counts().charged == 250);
 }
 
-TEST_CASE("A router that starts again begins with new totals") {
+TEST_CASE("The totals of a restarted router start at zero") {
   QuotaLedger ledger({}, kStart);
   ledger.setCatalog(catalogOf(limitedTenant(1000, 1000)), kStart);
   ledger.accept(use(1, 0, true), kStart);
@@ -103,7 +103,7 @@
   CHECK(ledger.counts().charged == 500);
 }
 
-TEST_CASE("A lower limit holds at once, a tenant that is new begins with its burst") {
+TEST_CASE("A lower limit takes effect at once, and an added tenant starts with its burst") {
   const QuotaTolerance exact{8s, 0, 0};
   QuotaLedger ledger(exact, kStart);
   ledger.setCatalog(wire::ServiceCatalog{}, kStart);
@@ -117,8 +117,8 @@
   CHECK(ledger.limited() == std::vector{TenantName("a")});
 }
 
-/// Half of the routers and the leader are lost in the second after a tenant used up its window.
-TEST_CASE("What lost routers ran is assumed as used, and what living ones tell isn't counted twice") {
+/// Half of the routers and the leader are lost within a second after a tenant has used up its window.
+TEST_CASE("Usage of lost routers is assumed, and usage reported by the others isn't counted twice") {
   QuotaLedger ledger(kTolerance, kStart);
   ledger.setCatalog(catalogOf(limitedTenant(180'000, 0)), kStart);
   const TenantName tenant("a");
@@ -150,7 +150,7 @@
     ask.asks = {{sequence, tenant, 1}};
     return ledger.accept(ask, at).decisions.at(0).granted;
   };
-  // 1,440,000 in a window, of which 200,000 are told and half of the window is assumed.
+  // The window allows 1,440,000: 200,000 are reported, and half of the window is assumed as used.
   CHECK(granted(kStart + 20ms));
   wire::QuotaUse spent;
   spent.router = NodeName("edge-1");
@@ -168,7 +168,7 @@
   CHECK(granted(kStart + 60ms));
 }
 
-TEST_CASE("A call that ends before its credit comes gives it back once") {
+TEST_CASE("Credit granted to a call that has ended is refunded once") {
   QuotaClientSettings settings;
   settings.router = NodeName("edge-1");
   settings.incarnation = 9;
@@ -191,21 +191,21 @@
   CHECK(told->spent[0].total == -300);
 }
 
-/// A caller whose call was charged under one leader and refused under the next raised an account that never
-/// charged it: the new leader takes a router's first totals as given, and a later fall of the total is
-/// credit. So each change of leaders let a tenant have more than its quota by what was refused around it.
-/// Evidence: the new leader's account of what was charged is negative.
-TEST_CASE("Credit that is given back under another leader than it was charged under raises no account") {
+/// A call was charged under one leader and refused under the next. Its refund went to an account that never
+/// charged it, because the new leader accepts a router's first totals as its baseline and counts a later
+/// decrease as credit. At each change of leader a tenant could so exceed its quota by the calls refused
+/// around that time. The fault shows as a negative amount charged at the new leader.
+TEST_CASE("A refund under a different leader than the one that charged the call adds no credit") {
   struct Moment {
     const char* name;
-    bool told_before;   ///< the charge was told to the leader before
-    bool whole_before;  ///< the new leader had the totals before the credit came back
+    bool told_before;   ///< the charge was reported to the previous leader
+    bool whole_before;  ///< the new leader had the totals before the refund
     bool granted_by_ask;
   };
   for (const Moment& moment :
-       {Moment{"told, whole", true, true, false}, Moment{"told, not whole", true, false, false},
-        Moment{"not told, whole", false, true, false},
-        Moment{"granted to an ask, whole", true, true, true}}) {
+       {Moment{"reported, full", true, true, false}, Moment{"reported, not full", true, false, false},
+        Moment{"not reported, full", false, true, false},
+        Moment{"granted on request, full", true, true, true}}) {
     INFO(moment.name);
     QuotaClientSettings settings;
     settings.router = NodeName("edge-1");
@@ -242,7 +242,7 @@
   }
 }
 
-TEST_CASE("Credit that is given back under the leader that charged it is there again") {
+TEST_CASE("A refund under the leader that charged the call restores the credit") {
   QuotaClientSettings settings;
   settings.router = NodeName("edge-1");
   settings.incarnation = 9;
@@ -261,7 +261,7 @@
   CHECK(ledger.counts().charged == 0);
 }
 
-TEST_CASE("An answer for an earlier life of the router decides nothing") {
+TEST_CASE("A response to an earlier incarnation of the router is ignored") {
   QuotaClientSettings settings;
   settings.incarnation = 9;
   QuotaClient client(settings);
@@ -277,7 +277,7 @@
   CHECK(client.accept(answer, kStart).empty());
 }
 
-TEST_CASE("Callers that are refused are told to come back one after the other") {
+TEST_CASE("Refused callers get successive retry times") {
   QuotaLedger ledger({8s, 0, 0}, kStart);
   ledger.setCatalog(wire::ServiceCatalog{}, kStart);
   ledger.setCatalog(catalogOf(limitedTenant(1000, 1000)), kStart);
@@ -290,7 +290,7 @@
   CHECK(answer.decisions[2].retry_after_ms == 1500);
 }
 
-/// QuotaUse as the build without loads of replicas lists it.
+/// QuotaUse as listed by builds without replica loads.
 struct FormerQuotaUse {
   NodeName router;
   std::uint64_t incarnation = 0;
@@ -301,7 +301,7 @@
   FERRYROCK_FIELDS(FormerQuotaUse, router, incarnation, sequence, whole, spent, asks)
 };
 
-TEST_CASE("A leader of the build without loads is told of quotas in its own layout") {
+TEST_CASE("A leader whose build has no replica loads gets QuotaUse in its legacy layout") {
   QuotaClientSettings settings;
   settings.router = NodeName("edge-1");
   QuotaClient client(settings);
--- a/tests/tenancy/quota_world.h
+++ b/tests/tenancy/quota_world.h
@@ -12,7 +12,7 @@
 #include "tenancy/quota_client.h"
 #include "tenancy/quota_ledger.h"
 
-/// Quotas under load: many routers and a leader that may be lost, under a clock of the test's own.
+/// Simulation of quotas under load: many routers, and a leader that may be lost, on a simulated clock.
 namespace ferryrock::tenancy {
 
 inline constexpr TimePoint kStart{std::chrono::seconds(1000)};
@@ -45,10 +45,11 @@
   return sum;
 }
 
-/// From a leader's finding to its word at every router: a round of updates to 300 of them, and the way.
+/// Time from a leader's decision until every router has it: a round of updates to 300 routers, and the
+/// network delay.
 inline constexpr Duration kWordToAll = std::chrono::milliseconds(80);
 
-/// Routers and a leader that exchange what they have to say, under a clock of the test's own.
+/// Routers and a leader that exchange messages on a simulated clock.
 class QuotaWorld {
  public:
   QuotaWorld(std::size_t routers, const wire::Tenant& tenant, const QuotaTolerance& tolerance,
@@ -77,7 +78,7 @@
   }
   void loseLeader() { ledger_.reset(); }
 
-  /// Calls of `cost` at random routers at the rate, for the time.
+  /// Sends calls of `cost` to random routers at the rate, for the time.
   void run(Duration time, double calls_per_second, std::int64_t cost) {
     const TimePoint end = now_ + time;
     TimePoint next_update = now_;
@@ -107,7 +108,8 @@
   }
   std::vector<Charge> ran;
   std::map<QuotaVerdict, std::size_t> verdicts;
-  /// Calls that one bucket of the quota itself would have let run, while less than it would have granted was.
+  /// Calls that were refused although a single bucket with the exact quota would have granted them, at times
+  /// when less was granted in total than by that bucket.
   std::size_t refused_within = 0;
 
  private:
@@ -171,7 +173,7 @@
   double granted_ = 0;
 };
 
-/// What the quota's tolerance allows in a window.
+/// Usage that the quota and its tolerance allow in a window.
 inline double allowed(const wire::Tenant& tenant, const QuotaTolerance& tolerance) {
   return tenant.quota->per_second * toSeconds(tolerance.window) + tenant.quota->burst +
          allowedBeyond(tolerance, *tenant.quota);
