--- a/src/quarantine/call_fingerprint.cc
+++ b/src/quarantine/call_fingerprint.cc
@@ -17,7 +17,7 @@
 using DigestAlgorithm = std::unique_ptr<EVP_MD, decltype(&EVP_MD_free)>;
 using DigestContext = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 
-/// One SHA-256 computation after the other, without looking the algorithm up each time.
+/// Computes SHA-256 digests in succession; the algorithm is looked up once.
 class Sha256 {
  public:
   Sha256()
@@ -35,7 +35,7 @@
  private:
   static void check(int result) {
     if (result != 1) {
-      throw Error(ResultCode::Internal, "the cryptographic library can't compute SHA-256");
+      throw Error(ResultCode::Internal, "libcrypto failed to compute SHA-256");
     }
   }
 
@@ -43,7 +43,7 @@
   DigestContext context_;
 };
 
-/// The length goes first, so that no two lists of parts give the same bytes.
+/// Each part is preceded by its length, so that different lists of parts never give the same bytes.
 void addPart(Sha256& digest, std::string_view part) {
   const std::uint64_t size = part.size();
   digest.add(&size, sizeof size);
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -8,7 +8,8 @@
 namespace ferryrock::quarantine {
 namespace {
 
-/// Replicas remembered for one call. Only a harmless call that many callers send reaches it.
+/// Maximum number of crashed replicas recorded for one call. Only a harmless call that many callers send
+/// reaches it.
 constexpr std::size_t kMostEnds = 16;
 
 }  // namespace
@@ -65,8 +66,7 @@
   return news;
 }
 
-/// The call that costs least to forget goes: with the fewest ends, and among those the one that was seen last
-/// the longest ago.
+/// Evicts the call with the fewest counted crashes; of several, the one whose last crash is the oldest.
 void CrashLedger::keepBounds(const wire::CallFingerprint& newest) {
   if (calls_.size() <= settings_.max_calls) {
     return;
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -11,62 +11,64 @@
 namespace ferryrock::quarantine {
 
 struct CrashLedgerSettings {
-  /// Replicas that end under a call until it is kept away from all others. The users bear three.
+  /// Number of replicas that may crash while they run a call until the call is quarantined. The loss of three
+  /// replicas to one call is accepted.
   std::size_t ends_borne = 3;
-  /// A call that is suspected is forgotten when no replica ended under it for so long. Longer than a caller
-  /// waits (35 s at most on the users' sheets), so that all tries of one caller are seen together.
+  /// A suspected call is forgotten when it has crashed no replica for this long. Longer than a caller waits
+  /// (at most 35 s), so that all attempts of one caller are counted together.
   Duration suspicion = std::chrono::seconds(60);
-  /// How long a call is kept away. What is wrong with it stays wrong until a model or an engine changes,
-  /// which takes operators hours; a call that was blamed in error has long ended by then.
+  /// How long a call is quarantined. The cause of the crashes persists until a model or an engine is changed,
+  /// which takes operators hours; a call that was quarantined in error is over long before that.
   Duration quarantine = std::chrono::hours(1);
-  /// Calls that are remembered. Each has cost the end of a replica, beside which a few dozen calls ran.
+  /// Maximum number of calls recorded. Each crash of a replica adds the few dozen calls that ran on it.
   std::size_t max_calls = 2000;
 };
 
 enum class Standing : std::uint8_t {
-  Unsuspected,  ///< no replica is known to have ended under it
+  Unsuspected,  ///< no crash of a replica counts against the call
   Suspected,
-  Quarantined,  ///< it isn't sent to a replica any more
+  Quarantined,  ///< the call is no longer sent to replicas
 };
 
-/// Which calls replicas ended under. Every router and member keeps one; what they tell each other is merged
-/// by union, so that messages may be lost, doubled, late and out of order, and any member may be asked.
+/// Records which calls were running on replicas when these crashed. Every router and control member has a
+/// ledger. The ledgers exchange records and merge them by union, so that messages may be lost, duplicated,
+/// late or reordered, and any member can answer queries.
 ///
-/// Blame: all calls that ran on a replica when it ended are noted with it. A call that is answered later by
-/// another replica is harmless: the ends so far don't count for it any more. So a harmless call is
-/// quarantined only if it ran on `ends_borne` replicas in a row that ended, without an answer between.
-/// Without input, output or a clock. Used by one thread.
+/// Attribution: when a replica crashes, the crash is recorded for all calls that ran on it. If another
+/// replica answers the call later, the call is harmless, and its crashes so far no longer count. A harmless
+/// call is therefore quarantined only if it ran on `ends_borne` crashing replicas in a row without an answer
+/// in between. Pure logic without I/O or a clock. Not thread-safe.
 class CrashLedger {
  public:
   explicit CrashLedger(const CrashLedgerSettings& settings = {}) : settings_(settings) {}
 
-  /// The replica ended while it had the call. True if that was new.
+  /// Records that the replica crashed while it ran the call. Returns true if this was new.
   bool noteEnd(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now);
-  /// A replica ran the call to an answer. True if ends counted until now.
+  /// Records that a replica answered the call. Returns true if any crash counted until now.
   bool noteAnswer(const wire::CallFingerprint& call);
-  /// Takes what another process knows. True if any of it was new.
+  /// Merges another process's record. Returns true if any of it was new.
   bool merge(const wire::CrashRecord& record, TimePoint now);
   void expire(TimePoint now);
 
   Standing standing(const wire::CallFingerprint& call) const;
-  /// Ends that count.
+  /// Number of crashes that count against the call.
   std::size_t ends(const wire::CallFingerprint& call) const;
-  /// Until a quarantine ends; zero if there is none.
+  /// Time until the call's quarantine ends; zero if it isn't quarantined.
   Duration left(const wire::CallFingerprint& call, TimePoint now) const;
-  /// Since the last end that is known; zero if none is.
+  /// Time since the last known crash; zero if none is known.
   Duration age(const wire::CallFingerprint& call, TimePoint now) const;
   const std::set<wire::CallFingerprint>& quarantined() const { return quarantined_; }
-  /// The calls that one more end quarantines, see Trial.
+  /// Calls that one more crash would quarantine, see Trial.
   const std::set<wire::CallFingerprint>& onTrial() const { return on_trial_; }
-  /// Rises when anything changes.
+  /// Number of changes so far.
   std::uint64_t changes() const { return changes_; }
   std::size_t size() const { return calls_.size(); }
 
   wire::CrashRecord record(const wire::CallFingerprint& call, TimePoint now) const;
-  /// The calls under which two replicas or more ended, which all routers should know. Those with one are many
-  /// (all that ran beside it) and come to nothing, as a rule.
+  /// Records of calls that crashed two or more replicas, which all routers should have. Calls with a single
+  /// crash are many (all that ran beside the cause) and usually harmless.
   std::vector<wire::CrashRecord> shared(TimePoint now) const;
-  /// Equal for processes that share the same; 0 for nothing.
+  /// Digest of the shared records: equal for processes that share the same records, 0 for none.
   std::uint64_t digest() const { return digest_; }
   static std::uint64_t digestOf(const std::vector<wire::CrashRecord>& shared);
   static bool isShared(const wire::CrashRecord& record) { return record.ended.size() >= kSharedEnds; }
@@ -75,13 +77,14 @@
   static constexpr std::size_t kSharedEnds = 2;
 
   struct Record {
-    std::map<ReplicaId, bool> ends;  ///< true: the call was answered since, so that the end doesn't count
+    /// By replica; true: the call was answered since, so that the crash doesn't count.
+    std::map<ReplicaId, bool> ends;
     TimePoint last_end{};
   };
 
   static std::size_t counted(const Record& record);
   wire::CrashRecord describe(const wire::CallFingerprint& call, const Record& record, TimePoint now) const;
-  /// Works out anew what follows from the records.
+  /// Recomputes everything that is derived from the records.
   void changed();
   void keepBounds(const wire::CallFingerprint& newest);
 
@@ -90,7 +93,8 @@
   std::set<wire::CallFingerprint> quarantined_;
   std::set<wire::CallFingerprint> on_trial_;
   std::uint64_t changes_ = 0;
-  std::uint64_t digest_ = 0;  ///< of what is shared; statuses carry it many times between two changes
+  /// Of shared(); cached because statuses carry it many times between two changes.
+  std::uint64_t digest_ = 0;
 };
 
 }  // namespace ferryrock::quarantine
--- a/src/quarantine/trial.cc
+++ b/src/quarantine/trial.cc
@@ -9,7 +9,7 @@
 namespace ferryrock::quarantine {
 namespace {
 
-/// Calls with equal hashes are told apart by their fingerprints.
+/// Rendezvous weight; the fingerprint breaks ties between equal hashes.
 std::pair<std::uint64_t, wire::CallFingerprint> weight(const ReplicaId& replica,
                                                        const wire::CallFingerprint& call) {
   return {stableHash(replica.value, stableHash(toText(call))), call};
--- a/tests/quarantine/call_fingerprint_test.cc
+++ b/tests/quarantine/call_fingerprint_test.cc
@@ -9,7 +9,7 @@
 
 constexpr CallIdentity kIdentity{"POST", "example", "/a/b?c=1", "key", "body"};
 
-TEST_CASE("The same call has the same fingerprint each time, and none differs in one part only") {
+TEST_CASE("Equal calls have equal fingerprints, and a difference in any part changes the fingerprint") {
   CHECK(fingerprintOf(kIdentity) == fingerprintOf(kIdentity));
   const std::vector<CallIdentity> others = {
       {"PUT", "example", "/a/b?c=1", "key", "body"},   {"POST", "example2", "/a/b?c=1", "key", "body"},
@@ -23,7 +23,7 @@
   }
 }
 
-TEST_CASE("A fingerprint reads as 32 hexadecimal digits and shows no key and no body") {
+TEST_CASE("A fingerprint is written as 32 hexadecimal digits, without the key or the body") {
   const std::string text = toText(fingerprintOf(kIdentity));
   CHECK(text.size() == 32);
   CHECK(text.find_first_not_of("0123456789abcdef") == std::string::npos);
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -20,7 +20,7 @@
   return ReplicaId("r" + std::to_string(number));
 }
 
-TEST_CASE("The third replica that ends under a call has it quarantined, whoever noted the ends") {
+TEST_CASE("A call is quarantined at its third crashed replica, whichever process recorded the crashes") {
   CrashLedger ledger;
   CHECK(ledger.standing(kCall) == Standing::Unsuspected);
   CHECK(ledger.noteEnd(kCall, replica(1), kStart));
@@ -33,7 +33,7 @@
   CHECK(ledger.quarantined().size() == 1);
 }
 
-TEST_CASE("An answer makes the ends so far count no more, also those that are told again later") {
+TEST_CASE("After an answer the earlier crashes no longer count, even if they are reported again") {
   CrashLedger ledger;
   ledger.noteEnd(kCall, replica(1), kStart);
   ledger.noteEnd(kCall, replica(2), kStart);
@@ -46,7 +46,7 @@
   CHECK(ledger.ends(kCall) == 1);
 }
 
-TEST_CASE("A suspicion ends sooner than a quarantine, and both count from the last end") {
+TEST_CASE("A suspicion expires before a quarantine, and both start at the last crash") {
   CrashLedger ledger;
   const CrashLedgerSettings settings;
   ledger.noteEnd(kOther, replica(1), kStart);
@@ -63,7 +63,7 @@
   CHECK(ledger.digest() == 0);
 }
 
-TEST_CASE("A record that was told late is as old as it is") {
+TEST_CASE("The age of a record that arrives late counts towards its expiry") {
   CrashLedger ledger;
   const CrashLedgerSettings settings;
   ledger.merge({kCall, {{replica(1), false}}, toMilliseconds(settings.suspicion)}, kStart);
@@ -71,7 +71,8 @@
   CHECK(ledger.size() == 0);
 }
 
-TEST_CASE("Memory is bounded: calls with the fewest and oldest ends are forgotten, never a quarantined one") {
+TEST_CASE(
+    "Memory is bounded: calls with the fewest and oldest crashes are evicted, never a quarantined one") {
   CrashLedgerSettings settings;
   settings.max_calls = 10;
   CrashLedger ledger(settings);
@@ -91,7 +92,7 @@
   CHECK(ledger.record(kCall, kStart).ended.size() <= 16);
 }
 
-TEST_CASE("Records that are lost, doubled or out of order lead all to the same once one of each has come") {
+TEST_CASE("Records that are lost, duplicated or reordered lead to the same state once each has arrived") {
   rc::check([] {
     CrashLedger source;
     std::vector<wire::CrashRecord> told;
--- a/tests/quarantine/trial_test.cc
+++ b/tests/quarantine/trial_test.cc
@@ -8,7 +8,9 @@
 namespace ferryrock::quarantine {
 namespace {
 
-TEST_CASE("Each replica takes the deciding sending of exactly one call, and each call has its share") {
+TEST_CASE(
+    "Each replica accepts the deciding attempt of exactly one call, and calls get similar shares of the "
+    "replicas") {
   CHECK(rc::check("trials", [] {
     const auto calls = *rc::gen::inRange<std::uint64_t>(1, 9);
     const auto salt = *rc::gen::arbitrary<std::uint64_t>();
