--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -10,24 +10,24 @@
 
 /// Maximum number of crashed replicas recorded for one call. Only a harmless call that many callers send
 /// reaches it.
-constexpr std::size_t kMostEnds = 16;
+constexpr std::size_t kMaxCrashes = 16;
 
 }  // namespace
 
-std::size_t CrashLedger::counted(const Record& record) {
+std::size_t CrashLedger::countedCrashes(const Record& record) {
   return static_cast<std::size_t>(
       std::count_if(record.ends.begin(), record.ends.end(), [](const auto& end) { return !end.second; }));
 }
 
 bool CrashLedger::noteEnd(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now) {
   Record& record = calls_[call];
-  const bool fresh = record.ends.size() < kMostEnds && record.ends.try_emplace(replica, false).second;
-  if (fresh) {
-    record.last_end = now;
-    keepBounds(call);
-    changed();
+  const bool added = record.ends.size() < kMaxCrashes && record.ends.try_emplace(replica, false).second;
+  if (added) {
+    record.last_crash = now;
+    evictExcess(call);
+    updateDerivedState();
   }
-  return fresh;
+  return added;
 }
 
 bool CrashLedger::noteAnswer(const wire::CallFingerprint& call) {
@@ -35,45 +35,47 @@
   if (found == calls_.end()) {
     return false;
   }
-  const bool counts = counted(found->second) > 0;
+  const bool counts = countedCrashes(found->second) > 0;
   for (auto& [replica, refuted] : found->second.ends) {
     refuted = true;
   }
   if (counts) {
-    changed();
+    updateDerivedState();
   }
   return counts;
 }
 
 bool CrashLedger::merge(const wire::CrashRecord& record, TimePoint now) {
   Record& known = calls_[record.call];
-  bool news = false;
+  bool modified = false;
   for (const wire::ReplicaEnd& end : record.ended) {
     const auto place = known.ends.find(end.replica);
-    if (place == known.ends.end() && known.ends.size() < kMostEnds) {
+    if (place == known.ends.end() && known.ends.size() < kMaxCrashes) {
       known.ends.emplace(end.replica, end.refuted);
-      news = true;
+      modified = true;
     } else if (place != known.ends.end() && end.refuted && !place->second) {
       place->second = true;
-      news = true;
+      modified = true;
     }
   }
-  known.last_end = std::max(known.last_end, now - std::chrono::milliseconds(record.age_ms));
-  keepBounds(record.call);
-  if (news) {
-    changed();
+  known.last_crash = std::max(known.last_crash, now - std::chrono::milliseconds(record.age_ms));
+  evictExcess(record.call);
+  if (modified) {
+    updateDerivedState();
   }
-  return news;
+  return modified;
 }
 
 /// Evicts the call with the fewest counted crashes; of several, the one whose last crash is the oldest.
-void CrashLedger::keepBounds(const wire::CallFingerprint& newest) {
+void CrashLedger::evictExcess(const wire::CallFingerprint& newest) {
   if (calls_.size() <= settings_.max_calls) {
     return;
   }
   auto least = calls_.end();
   for (auto call = calls_.begin(); call != calls_.end(); ++call) {
-    const auto rank = [](const Record& record) { return std::make_tuple(counted(record), record.last_end); };
+    const auto rank = [](const Record& record) {
+      return std::make_tuple(countedCrashes(record), record.last_crash);
+    };
     if (call->first != newest && (least == calls_.end() || rank(call->second) < rank(least->second))) {
       least = call;
     }
@@ -81,13 +83,13 @@
   calls_.erase(least);
 }
 
-void CrashLedger::changed() {
+void CrashLedger::updateDerivedState() {
   ++changes_;
   digest_ = digestOf(shared(TimePoint{}));
   quarantined_.clear();
   on_trial_.clear();
   for (const auto& [call, record] : calls_) {
-    const std::size_t ends = counted(record);
+    const std::size_t ends = countedCrashes(record);
     if (ends >= settings_.ends_borne) {
       quarantined_.insert(call);
     } else if (ends > 0 && ends + 1 == settings_.ends_borne) {
@@ -99,16 +101,16 @@
 void CrashLedger::expire(TimePoint now) {
   const std::size_t erased = std::erase_if(calls_, [&](const auto& item) {
     const Duration kept = quarantined_.contains(item.first) ? settings_.quarantine : settings_.suspicion;
-    return now - item.second.last_end >= kept;
+    return now - item.second.last_crash >= kept;
   });
   if (erased > 0) {
-    changed();
+    updateDerivedState();
   }
 }
 
 std::size_t CrashLedger::ends(const wire::CallFingerprint& call) const {
   const auto found = calls_.find(call);
-  return found == calls_.end() ? 0 : counted(found->second);
+  return found == calls_.end() ? 0 : countedCrashes(found->second);
 }
 
 Standing CrashLedger::standing(const wire::CallFingerprint& call) const {
@@ -122,12 +124,12 @@
   if (!quarantined_.contains(call)) {
     return Duration::zero();
   }
-  return std::max(Duration::zero(), calls_.at(call).last_end + settings_.quarantine - now);
+  return std::max(Duration::zero(), calls_.at(call).last_crash + settings_.quarantine - now);
 }
 
 Duration CrashLedger::age(const wire::CallFingerprint& call, TimePoint now) const {
   const auto found = calls_.find(call);
-  return found == calls_.end() ? Duration::zero() : now - found->second.last_end;
+  return found == calls_.end() ? Duration::zero() : now - found->second.last_crash;
 }
 
 wire::CrashRecord CrashLedger::describe(const wire::CallFingerprint& call, const Record& record,
@@ -137,7 +139,7 @@
   for (const auto& [replica, refuted] : record.ends) {
     described.ended.push_back({replica, refuted});
   }
-  described.age_ms = toMilliseconds(now - record.last_end);
+  described.age_ms = toMilliseconds(now - record.last_crash);
   return described;
 }
 
@@ -149,7 +151,7 @@
 std::vector<wire::CrashRecord> CrashLedger::shared(TimePoint now) const {
   std::vector<wire::CrashRecord> records;
   for (const auto& [call, record] : calls_) {
-    if (record.ends.size() >= kSharedEnds) {
+    if (record.ends.size() >= kMinSharedCrashes) {
       records.push_back(describe(call, record, now));
     }
   }
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -71,22 +71,22 @@
   /// Digest of the shared records: equal for processes that share the same records, 0 for none.
   std::uint64_t digest() const { return digest_; }
   static std::uint64_t digestOf(const std::vector<wire::CrashRecord>& shared);
-  static bool isShared(const wire::CrashRecord& record) { return record.ended.size() >= kSharedEnds; }
+  static bool isShared(const wire::CrashRecord& record) { return record.ended.size() >= kMinSharedCrashes; }
 
  private:
-  static constexpr std::size_t kSharedEnds = 2;
+  static constexpr std::size_t kMinSharedCrashes = 2;
 
   struct Record {
     /// By replica; true: the call was answered since, so that the crash doesn't count.
     std::map<ReplicaId, bool> ends;
-    TimePoint last_end{};
+    TimePoint last_crash{};
   };
 
-  static std::size_t counted(const Record& record);
+  static std::size_t countedCrashes(const Record& record);
   wire::CrashRecord describe(const wire::CallFingerprint& call, const Record& record, TimePoint now) const;
   /// Recomputes everything that is derived from the records.
-  void changed();
-  void keepBounds(const wire::CallFingerprint& newest);
+  void updateDerivedState();
+  void evictExcess(const wire::CallFingerprint& newest);
 
   CrashLedgerSettings settings_;
   std::map<wire::CallFingerprint, Record> calls_;
--- a/src/tenancy/catalog_proof.cc
+++ b/src/tenancy/catalog_proof.cc
@@ -6,13 +6,13 @@
 namespace {
 
 /// Number of sent statuses that are kept: at four per second, more than any proof lifetime needs.
-constexpr std::size_t kRememberedStatuses = 64;
+constexpr std::size_t kMaxRetainedStatuses = 64;
 
 }  // namespace
 
 void CatalogProof::onStatusSent(std::uint64_t sequence, TimePoint now) {
   sent_.push_back({sequence, now});
-  if (sent_.size() > kRememberedStatuses) {
+  if (sent_.size() > kMaxRetainedStatuses) {
     sent_.pop_front();
   }
 }
--- a/src/tenancy/key_table.cc
+++ b/src/tenancy/key_table.cc
@@ -14,7 +14,7 @@
   return stableHash(std::to_string(seed).append("/").append(key));
 }
 
-bool sameKey(std::string_view left, std::string_view right) {
+bool equalInConstantTime(std::string_view left, std::string_view right) {
   return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
@@ -31,7 +31,7 @@
 const wire::Tenant* KeyTable::find(std::string_view key) const {
   const auto [begin, end] = entries_.equal_range(seededHash(seed_, key));
   for (auto entry = begin; entry != end; ++entry) {
-    if (sameKey(entry->second.key, key)) {
+    if (equalInConstantTime(entry->second.key, key)) {
       return entry->second.tenant;
     }
   }
--- a/src/tenancy/quota_bucket.h
+++ b/src/tenancy/quota_bucket.h
@@ -26,9 +26,9 @@
   QuotaBucket(const QuotaLimit& limit, double level, TimePoint now)
       : limit_(limit),
         used_(limit.window),
-        told_(limit.window),
-        assumed_(full() - std::min(level, full())),
-        began_(now) {}
+        reported_(limit.window),
+        assumed_(capacity() - std::min(level, capacity())),
+        started_at_(now) {}
 
   void setLimit(const QuotaLimit& limit) { limit_ = limit; }
   /// Charges the amount and returns true if there is credit.
@@ -44,51 +44,53 @@
     if (amount >= 0) {
       used_.add(amount, now, now);
     } else {
-      used_.takeBack(-amount, now);
+      used_.refund(-amount, now);
     }
   }
   /// Adds usage from before this bucket started, under an earlier leader, as reported by the router that ran
   /// it.
-  void addPast(double amount, TimePoint at, TimePoint now) { told_.add(amount, at, now); }
+  void addPriorUsage(double amount, TimePoint at, TimePoint now) { reported_.add(amount, at, now); }
   /// Sets the share, initially 1, of the usage before the bucket's start that no router has reported. That
   /// share is assumed to have been used.
-  void setUntold(double share) { untold_ = share; }
-  double level(TimePoint now) { return full() - before(now) - used_.sum(now); }
+  void setUnreportedShare(double share) { unreported_share_ = share; }
+  double level(TimePoint now) { return capacity() - priorUsage(now) - used_.sum(now); }
   /// Time until there is credit again if nothing is used in the meantime.
-  Duration untilCredit(TimePoint now) {
+  Duration timeUntilCredit(TimePoint now) {
     const double missing = -level(now);
     if (missing <= 0) {
       return Duration::zero();
     }
-    const double fades_per_second = assumed_ / toSeconds(limit_.window);
-    const TimePoint faded =
-        now + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / fades_per_second));
-    const bool fades = assumed(now) >= missing && told_.sum(now) < assumed(now);
-    return (fades ? std::min(faded, used_.fallsBy(missing, now)) : used_.fallsBy(missing, now)) - now;
+    const double decay_per_second = assumed_ / toSeconds(limit_.window);
+    const TimePoint decayed_at =
+        now + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / decay_per_second));
+    const bool decays = assumed(now) >= missing && reported_.sum(now) < assumed(now);
+    return (decays ? std::min(decayed_at, used_.timeOfDecrease(missing, now))
+                   : used_.timeOfDecrease(missing, now)) -
+           now;
   }
   const QuotaLimit& limit() const { return limit_; }
 
  private:
-  double full() const { return limit_.per_second * toSeconds(limit_.window) + limit_.burst; }
+  double capacity() const { return limit_.per_second * toSeconds(limit_.window) + limit_.burst; }
   /// Usage from before the bucket's start that still counts: the reported usage plus the unreported share of
   /// the assumed usage. It is capped at the larger of the two, so that a leader with reports from few routers
   /// doesn't count the usage of these twice.
-  double before(TimePoint now) {
-    const double told = told_.sum(now);
+  double priorUsage(TimePoint now) {
+    const double reported = reported_.sum(now);
     const double all = assumed(now);
-    return std::min(told + untold_ * all, std::max(told, all));
+    return std::min(reported + unreported_share_ * all, std::max(reported, all));
   }
   double assumed(TimePoint now) const {
-    const double passed = toSeconds(now - began_) / toSeconds(limit_.window);
+    const double passed = toSeconds(now - started_at_) / toSeconds(limit_.window);
     return assumed_ * std::clamp(1 - passed, 0.0, 1.0);
   }
 
   QuotaLimit limit_;
   UsageWindow used_;
-  UsageWindow told_;    ///< reported usage from before the bucket's start
-  double assumed_ = 0;  ///< usage assumed in the window before the bucket's start
-  double untold_ = 1;
-  TimePoint began_;
+  UsageWindow reported_;  ///< reported usage from before the bucket's start
+  double assumed_ = 0;    ///< usage assumed in the window before the bucket's start
+  double unreported_share_ = 1;
+  TimePoint started_at_;
 };
 
 }  // namespace ferryrock::tenancy
--- a/src/tenancy/quota_client.h
+++ b/src/tenancy/quota_client.h
@@ -73,13 +73,13 @@
   TimePoint nextDeadline() const;
 
  private:
-  struct Spent {
+  struct TenantUsage {
     std::int64_t total = 0;
     TimePoint changed{};
     /// Usage by whole seconds, for the length of a window and of the longest time without a leader.
     std::map<std::int64_t, std::int64_t> by_second;
   };
-  struct Ask {
+  struct PendingRequest {
     TenantName tenant;
     wire::TenantQuota quota;
     std::int64_t cost = 0;
@@ -89,35 +89,35 @@
     bool abandoned = false;
   };
   /// Credit that this router may grant without contact to a leader.
-  struct OwnPart {
+  struct LocalShare {
     double level = 0;
     TimePoint at{};
   };
 
-  bool leaderSilent(TimePoint now) const;
+  bool leaderTimedOut(TimePoint now) const;
   /// Records usage by seconds, for the next leader.
-  void remember(const TenantName& tenant, std::int64_t amount, TimePoint now);
+  void recordUsage(const TenantName& tenant, std::int64_t amount, TimePoint now);
   /// Usage of the tenant at this router that left the window between the two times.
-  double rolledOff(const TenantName& tenant, TimePoint from, TimePoint to) const;
-  std::vector<std::int64_t> recent(const Spent& spent, TimePoint now) const;
-  void spend(const TenantName& tenant, std::int64_t amount, TimePoint now);
-  QuotaReply decideAlone(const TenantName& tenant, const wire::TenantQuota& quota, std::int64_t cost,
-                         TimePoint now);
+  double usageLeavingWindow(const TenantName& tenant, TimePoint from, TimePoint to) const;
+  std::vector<std::int64_t> recentUsage(const TenantUsage& spent, TimePoint now) const;
+  void recordCharge(const TenantName& tenant, std::int64_t amount, TimePoint now);
+  QuotaReply decideLocally(const TenantName& tenant, const wire::TenantQuota& quota, std::int64_t cost,
+                           TimePoint now);
 
   QuotaClientSettings settings_;
   Random random_;
   NodeName leader_;
   std::optional<TimePoint> leader_heard_;
   bool leader_reads_histories_ = true;
-  std::optional<TimePoint> began_;
+  std::optional<TimePoint> first_update_at_;
   std::set<TenantName> limited_;
-  std::map<TenantName, Spent> spent_;
-  std::map<std::uint64_t, Ask> asks_;
-  std::map<TenantName, OwnPart> own_parts_;
+  std::map<TenantName, TenantUsage> usage_;
+  std::map<std::uint64_t, PendingRequest> pending_requests_;
+  std::map<TenantName, LocalShare> local_shares_;
   std::uint64_t sequence_ = 0;
-  std::uint64_t account_ = 0;  ///< see QuotaReply::account
-  bool whole_due_ = false;     ///< the leader is new and has no totals of this router
-  bool asks_due_ = false;
+  std::uint64_t account_ = 0;     ///< see QuotaReply::account
+  bool full_report_due_ = false;  ///< the leader is new and has no totals of this router
+  bool requests_due_ = false;
   TimePoint charges_due_ = TimePoint::max();
 };
 
--- a/src/tenancy/quota_ledger.cc
+++ b/src/tenancy/quota_ledger.cc
@@ -12,13 +12,13 @@
 /// Credit, as a share of the burst, below which a tenant is limited. A tenant at 3.3 times its rate uses up
 /// the other half in 0.2 s, which is about the time that charges and the update to all of 300 routers take
 /// (50 ms and 75 ms).
-constexpr double kLimitedBelow = 0.5;
+constexpr double kLimitThreshold = 0.5;
 /// Credit, as a share of the burst, from which a tenant is no longer limited.
-constexpr double kFreeFrom = 0.9;
+constexpr double kUnlimitThreshold = 0.9;
 /// Minimum time for which a tenant stays limited, since each change is sent to every router.
-constexpr Duration kLimitedFor = 10s;
+constexpr Duration kMinLimitedTime = 10s;
 /// Longest retry time for refused callers, however many of them wait.
-constexpr Duration kLongestPromise = 5s;
+constexpr Duration kMaxRetryDelay = 5s;
 
 }  // namespace
 
@@ -37,11 +37,11 @@
     }
     // The first catalog's tenants may have usage granted by an earlier leader that this ledger doesn't know.
     const double level =
-        first_catalog_ ? kNewLeaderPart * allowedBeyond(tolerance_, *tenant.quota) : limit.burst;
-    Account account{QuotaBucket(limit, level, first_catalog_ ? began_ : now)};
-    account.bucket.setUntold(first_catalog_ ? untold_ : 1);
-    account.filling = first_catalog_;
-    account.of_new_leader = first_catalog_;
+        first_catalog_ ? kNewLeaderShare * allowedOverrun(tolerance_, *tenant.quota) : limit.burst;
+    Account account{QuotaBucket(limit, level, first_catalog_ ? started_at_ : now)};
+    account.bucket.setUnreportedShare(first_catalog_ ? unreported_share_ : 1);
+    account.ramping_up = first_catalog_;
+    account.from_first_catalog = first_catalog_;
     accounts_.emplace(tenant.name, account);
   }
   std::erase_if(accounts_, [&listed](const auto& item) { return !listed.contains(item.first); });
@@ -50,28 +50,28 @@
 
 wire::QuotaAnswer QuotaLedger::accept(const wire::QuotaUse& use, TimePoint now) {
   RouterTotals& known = routers_[use.router];
-  const bool same_life = known.incarnation == use.incarnation;
+  const bool same_incarnation = known.incarnation == use.incarnation;
   wire::QuotaAnswer answer;
   answer.incarnation = use.incarnation;
-  if (same_life && use.sequence <= known.sequence) {
+  if (same_incarnation && use.sequence <= known.sequence) {
     return answer;
   }
-  const bool baseline = use.whole || !same_life;
-  if (!same_life) {
+  const bool baseline = use.whole || !same_incarnation;
+  if (!same_incarnation) {
     known.totals.clear();
   }
   known.incarnation = use.incarnation;
   known.sequence = use.sequence;
-  const bool told_before = std::exchange(known.told_history, known.told_history || use.whole);
+  const bool had_history = std::exchange(known.has_history, known.has_history || use.whole);
   for (const wire::QuotaSpent& spent : use.spent) {
     charge(known, spent, baseline, now);
   }
-  if (!told_before || !same_life) {
+  if (!had_history || !same_incarnation) {
     for (const wire::QuotaHistory& history : use.histories) {
-      takeHistory(history, now);
+      applyHistory(history, now);
     }
   }
-  known.history = std::max(known.history, std::chrono::milliseconds(use.history_ms) + (began_ - now));
+  known.history = std::max(known.history, std::chrono::milliseconds(use.history_ms) + (started_at_ - now));
   for (const wire::QuotaAsk& ask : use.asks) {
     answer.decisions.push_back(decide(ask, now));
   }
@@ -93,7 +93,7 @@
 /// progress. The usage of a second counts from the end of that second, so that it counts for a whole window.
 /// The history doesn't contain where the seconds begin, so that each may have ended up to one second later
 /// than its position implies.
-void QuotaLedger::takeHistory(const wire::QuotaHistory& history, TimePoint now) {
+void QuotaLedger::applyHistory(const wire::QuotaHistory& history, TimePoint now) {
   const auto account = accounts_.find(history.tenant);
   if (account == accounts_.end()) {
     return;
@@ -101,17 +101,17 @@
   TimePoint latest = now + kHistorySlot;
   for (const std::int64_t amount : history.amounts) {
     if (amount > 0) {
-      account->second.bucket.addPast(static_cast<double>(amount), std::min(now, latest), now);
+      account->second.bucket.addPriorUsage(static_cast<double>(amount), std::min(now, latest), now);
     }
     latest -= kHistorySlot;
   }
 }
 
-void QuotaLedger::setUntold(double share) {
-  untold_ = share;
+void QuotaLedger::setUnreportedShare(double share) {
+  unreported_share_ = share;
   for (auto& [tenant, account] : accounts_) {
-    if (account.of_new_leader) {
-      account.bucket.setUntold(share);
+    if (account.from_first_catalog) {
+      account.bucket.setUnreportedShare(share);
     }
   }
 }
@@ -127,37 +127,38 @@
     return decision;
   }
   ++counts_.refused;
-  decision.retry_after_ms = std::max<std::int64_t>(1, toMilliseconds(promise(account->second, amount, now)));
+  decision.retry_after_ms =
+      std::max<std::int64_t>(1, toMilliseconds(reserveRetryTime(account->second, amount, now)));
   return decision;
 }
 
 /// Callers that are refused in succession get successive retry times, spaced by the rate at which credit
 /// returns, so that they don't retry all at once.
-Duration QuotaLedger::promise(Account& account, double amount, TimePoint now) {
-  const TimePoint credit = now + account.bucket.untilCredit(now);
-  const TimePoint told = std::min(std::max(credit, account.promised), now + kLongestPromise);
-  const std::chrono::duration<double> takes(amount / account.bucket.limit().per_second);
-  account.promised = told + std::chrono::duration_cast<Duration>(takes);
-  return told - now;
+Duration QuotaLedger::reserveRetryTime(Account& account, double amount, TimePoint now) {
+  const TimePoint credit = now + account.bucket.timeUntilCredit(now);
+  const TimePoint retry_at = std::min(std::max(credit, account.reserved_until), now + kMaxRetryDelay);
+  const std::chrono::duration<double> spacing(amount / account.bucket.limit().per_second);
+  account.reserved_until = retry_at + std::chrono::duration_cast<Duration>(spacing);
+  return retry_at - now;
 }
 
 /// A new leader starts with little credit for every tenant, and limits a tenant only when that credit is used
 /// up. Otherwise the calls of all tenants would request credit while the leader also sends each router its
 /// first table, and none would be answered in time (300 routers: 17 in 100 calls refused).
-bool QuotaLedger::isShort(Account& account, TimePoint now) {
+bool QuotaLedger::shouldLimit(Account& account, TimePoint now) {
   const double share = account.bucket.level(now) / account.bucket.limit().burst;
-  account.filling = account.filling && share < kLimitedBelow;
-  const double enough = account.limited ? kFreeFrom : account.filling ? 0 : kLimitedBelow;
-  if (share < enough && share < kLimitedBelow) {
+  account.ramping_up = account.ramping_up && share < kLimitThreshold;
+  const double enough = account.limited ? kUnlimitThreshold : account.ramping_up ? 0 : kLimitThreshold;
+  if (share < enough && share < kLimitThreshold) {
     account.limited_since = now;
   }
-  return share < enough || (account.limited && now - account.limited_since < kLimitedFor);
+  return share < enough || (account.limited && now - account.limited_since < kMinLimitedTime);
 }
 
 bool QuotaLedger::refresh(TimePoint now) {
   bool changed = false;
   for (auto& [tenant, account] : accounts_) {
-    const bool limited = isShort(account, now);
+    const bool limited = shouldLimit(account, now);
     changed = changed || limited != account.limited;
     account.limited = limited;
   }
--- a/src/tenancy/quota_ledger.h
+++ b/src/tenancy/quota_ledger.h
@@ -26,7 +26,7 @@
 /// is granted beyond the credit. Not thread-safe.
 class QuotaLedger {
  public:
-  QuotaLedger(const QuotaTolerance& tolerance, TimePoint now) : tolerance_(tolerance), began_(now) {}
+  QuotaLedger(const QuotaTolerance& tolerance, TimePoint now) : tolerance_(tolerance), started_at_(now) {}
 
   /// Applies the limits of a catalog. A lower limit takes effect at once; a tenant that is added later starts
   /// with its whole burst as credit.
@@ -42,17 +42,17 @@
     std::erase_if(routers_, [&routers](const auto& item) { return !routers.contains(item.first); });
   }
   /// Updates the share of routers whose history is missing. routers: those from which a message was received
-  /// within the last window; all_heard: that list is complete. The history of a router that is gone, or has
+  /// within the last window; is_complete: that list is complete. The history of a router that is gone, or has
   /// restarted since, is unknown: its share of the window before this leader is assumed to have been used.
   template <class Routers>
-  void followRouters(const Routers& routers, bool all_heard) {
-    std::size_t told = 0;
+  void followRouters(const Routers& routers, bool is_complete) {
+    std::size_t with_history = 0;
     for (const auto& [router, record] : routers) {
       const auto known = routers_.find(router);
-      told += known != routers_.end() && known->second.history >= tolerance_.window ? 1 : 0;
+      with_history += known != routers_.end() && known->second.history >= tolerance_.window ? 1 : 0;
     }
-    const bool any = all_heard && !routers.empty();
-    setUntold(any ? 1 - static_cast<double>(told) / static_cast<double>(routers.size()) : 1);
+    const bool any = is_complete && !routers.empty();
+    setUnreportedShare(any ? 1 - static_cast<double>(with_history) / static_cast<double>(routers.size()) : 1);
   }
   const QuotaCounts& counts() const { return counts_; }
 
@@ -60,30 +60,30 @@
   struct Account {
     QuotaBucket bucket;
     bool limited = false;
-    bool of_new_leader = false;  ///< earlier usage is known from the routers' reports only
-    bool filling = false;        ///< set for a new leader until the credit reaches half of the burst
+    bool from_first_catalog = false;  ///< earlier usage is known from the routers' reports only
+    bool ramping_up = false;          ///< set for a new leader until the credit reaches half of the burst
     TimePoint limited_since{};
-    TimePoint promised{};  ///< retry times up to this one have been given to refused callers
+    TimePoint reserved_until{};  ///< retry times up to this one have been given to refused callers
   };
   struct RouterTotals {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     std::map<TenantName, std::int64_t> totals;
-    bool told_history = false;
+    bool has_history = false;
     Duration history{};  ///< time before this leader's start that the history covers
   };
 
   void charge(RouterTotals& known, const wire::QuotaSpent& spent, bool baseline, TimePoint now);
-  void takeHistory(const wire::QuotaHistory& history, TimePoint now);
-  void setUntold(double share);
+  void applyHistory(const wire::QuotaHistory& history, TimePoint now);
+  void setUnreportedShare(double share);
   wire::QuotaDecision decide(const wire::QuotaAsk& ask, TimePoint now);
   /// True if the tenant's calls have to request credit.
-  static bool isShort(Account& account, TimePoint now);
-  static Duration promise(Account& account, double amount, TimePoint now);
+  static bool shouldLimit(Account& account, TimePoint now);
+  static Duration reserveRetryTime(Account& account, double amount, TimePoint now);
 
   QuotaTolerance tolerance_;
-  TimePoint began_;
-  double untold_ = 1;  ///< share of the routers whose history is unknown
+  TimePoint started_at_;
+  double unreported_share_ = 1;  ///< share of the routers whose history is unknown
   bool first_catalog_ = true;
   std::map<TenantName, Account> accounts_;
   std::vector<TenantName> limited_;
--- a/src/tenancy/quota_tolerance.h
+++ b/src/tenancy/quota_tolerance.h
@@ -15,7 +15,7 @@
 };
 
 /// Usage that the tolerance allows beyond the quota, in the quota's unit.
-inline double allowedBeyond(const QuotaTolerance& tolerance, const wire::TenantQuota& quota) {
+inline double allowedOverrun(const QuotaTolerance& tolerance, const wire::TenantQuota& quota) {
   return tolerance.overshoot * (quota.per_second * toSeconds(tolerance.window) + quota.burst) +
          tolerance.slack;
 }
@@ -23,20 +23,20 @@
 /// Length of the slots in which routers record usage for the next leader.
 constexpr Duration kHistorySlot = std::chrono::seconds(1);
 
-// Shares of allowedBeyond(), each reserved for one way in which the leader's account lags behind the actual
+// Shares of allowedOverrun(), each reserved for one way in which the leader's account lags behind the actual
 // usage. Their sum is below 1; the rest covers calls larger than the available credit, and clock error.
 
 /// Extra credit of a full bucket, so that calls which reach the leader in bursts aren't refused.
-constexpr double kBurstPart = 0.35;
+constexpr double kBurstShare = 0.35;
 /// Initial credit at a new leader, which doesn't know what earlier leaders granted in the preceding window.
-constexpr double kNewLeaderPart = 0.15;
+constexpr double kNewLeaderShare = 0.15;
 /// Credit granted locally by routers without contact to a leader, in addition to their local shares of the
 /// rate.
-constexpr double kLeaderlessPart = 0.2;
+constexpr double kLeaderlessShare = 0.2;
 
 /// Limit that the leader applies for a quota.
 inline QuotaLimit limitFor(const wire::TenantQuota& quota, const QuotaTolerance& tolerance) {
-  return {quota.per_second, quota.burst + kBurstPart * allowedBeyond(tolerance, quota), tolerance.window};
+  return {quota.per_second, quota.burst + kBurstShare * allowedOverrun(tolerance, quota), tolerance.window};
 }
 
 }  // namespace ferryrock::tenancy
--- a/src/tenancy/usage_window.cc
+++ b/src/tenancy/usage_window.cc
@@ -28,7 +28,7 @@
   sum_ += amount;
 }
 
-void UsageWindow::takeBack(double amount, TimePoint now) {
+void UsageWindow::refund(double amount, TimePoint now) {
   expire(now);
   double left = std::min(amount, sum_);
   sum_ -= left;
@@ -47,15 +47,15 @@
   return sum_;
 }
 
-TimePoint UsageWindow::fallsBy(double amount, TimePoint now) {
+TimePoint UsageWindow::timeOfDecrease(double amount, TimePoint now) {
   expire(now);
-  double fallen = 0;
+  double decrease = 0;
   TimePoint at = now;
   for (const Slot& slot : slots_) {
-    if (fallen >= amount) {
+    if (decrease >= amount) {
       break;
     }
-    fallen += slot.amount;
+    decrease += slot.amount;
     at = slot.end + window_;
   }
   return at;
--- a/src/tenancy/usage_window.h
+++ b/src/tenancy/usage_window.h
@@ -15,10 +15,10 @@
   /// Usage may be added in any order of time; usage that has already left the window is dropped.
   void add(double amount, TimePoint at, TimePoint now);
   /// Refunds unused amounts, from the oldest slots first, so that the sum never falls below the actual usage.
-  void takeBack(double amount, TimePoint now);
+  void refund(double amount, TimePoint now);
   double sum(TimePoint now);
   /// Time at which the sum has fallen by the amount if nothing is added; the end of the window at the latest.
-  TimePoint fallsBy(double amount, TimePoint now);
+  TimePoint timeOfDecrease(double amount, TimePoint now);
 
   /// Length of a slot, by which usage may count longer than the window; 80 slots per tenant for a window of 8
   /// s.
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -37,13 +37,13 @@
 };
 
 template <class T>
-concept HasFormerFields = requires(T& value) {
+concept HasLegacyFields = requires(T& value) {
   value.formerFields();
   value.former_layout;
 };
 
 template <class T>
-concept KeepsToldMembers = requires(T& value) {
+concept HasEncodedMemberCount = requires(T& value) {
   value.told_members;
 };
 
@@ -52,7 +52,7 @@
 template <class... A>
 struct IsVariant<std::variant<A...>> : std::true_type {};
 
-[[noreturn]] inline void malformed(const char* detail) {
+[[noreturn]] inline void throwMalformed(const char* detail) {
   throw Error(ResultCode::MalformedMessage, detail);
 }
 
@@ -130,7 +130,7 @@
     packer.pack(static_cast<std::uint32_t>(value.index()));
     std::visit([&packer](const auto& alternative) { packValue(packer, alternative); }, value);
   } else if constexpr (HasFields<const T>) {
-    if constexpr (HasFormerFields<const T>) {
+    if constexpr (HasLegacyFields<const T>) {
       if (value.former_layout) {
         packMembers(packer, value.formerFields());
         return;
@@ -172,7 +172,7 @@
 template <class T>
 void readValue(const msgpack::object& object, std::vector<T>& values) {
   if (object.type != msgpack::type::ARRAY) {
-    malformed("an array was expected");
+    throwMalformed("an array was expected");
   }
   values.clear();
   values.reserve(object.via.array.size);
@@ -191,7 +191,7 @@
 template <class K, class V>
 void readValue(const msgpack::object& object, std::map<K, V>& values) {
   if (object.type != msgpack::type::MAP) {
-    malformed("a map was expected");
+    throwMalformed("a map was expected");
   }
   values.clear();
   for (std::uint32_t i = 0; i < object.via.map.size; ++i) {
@@ -203,7 +203,7 @@
 template <class A, class B>
 void readValue(const msgpack::object& object, std::pair<A, B>& value) {
   if (object.type != msgpack::type::ARRAY || object.via.array.size != 2) {
-    malformed("a pair was expected");
+    throwMalformed("a pair was expected");
   }
   readValue(object.via.array.ptr[0], value.first);
   readValue(object.via.array.ptr[1], value.second);
@@ -223,7 +223,7 @@
   const bool known =
       ((Index == number ? (readValue(object, value.template emplace<Index>()), true) : false) || ...);
   if (!known) {
-    malformed("the type number is unknown");
+    throwMalformed("the type number is unknown");
   }
 }
 
@@ -243,18 +243,18 @@
 void readValue(const msgpack::object& object, T& value) {
   if constexpr (IsVariant<T>::value) {
     if (object.type != msgpack::type::ARRAY || object.via.array.size != 2) {
-      malformed("a typed value was expected");
+      throwMalformed("a typed value was expected");
     }
     readAlternative(object.via.array.ptr[1], object.via.array.ptr[0].as<std::uint32_t>(), value,
                     std::make_index_sequence<std::variant_size_v<T>>());
   } else if constexpr (HasFields<T>) {
     if (object.type != msgpack::type::ARRAY) {
-      malformed("a message was expected");
+      throwMalformed("a message was expected");
     }
-    if constexpr (KeepsToldMembers<T>) {
+    if constexpr (HasEncodedMemberCount<T>) {
       value.told_members = object.via.array.size;
     }
-    if constexpr (HasFormerFields<T>) {
+    if constexpr (HasLegacyFields<T>) {
       value.former_layout = object.via.array.size == std::tuple_size_v<decltype(value.formerFields())>;
       if (value.former_layout) {
         readMembers(object.via.array, value.formerFields());
@@ -296,7 +296,7 @@
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limit);
     if (offset != bytes.size()) {
-      malformed("bytes follow the message");
+      throwMalformed("bytes follow the message");
     }
     T value{};
     readValue(handle.get(), value);
--- a/src/wire/replica_life.cc
+++ b/src/wire/replica_life.cc
@@ -10,17 +10,17 @@
 constexpr char kSeparator = '@';
 /// Base of the start time's text: 8 characters instead of 13 in base 10, in tables of thousands of replicas.
 constexpr int kBase = 36;
-constexpr std::size_t kMostDigits = 13;
+constexpr std::size_t kMaxDigits = 13;
 
 }  // namespace
 
-ReplicaId replicaLife(std::string_view name, std::uint64_t born) {
-  const bool plain = born == 0 && name.find(kSeparator) == std::string_view::npos;
+ReplicaId replicaLife(std::string_view name, std::uint64_t start_ms) {
+  const bool plain = start_ms == 0 && name.find(kSeparator) == std::string_view::npos;
   if (plain) {
     return ReplicaId(std::string(name));
   }
-  std::array<char, kMostDigits> digits{};
-  const auto written = std::to_chars(digits.data(), digits.data() + digits.size(), born, kBase);
+  std::array<char, kMaxDigits> digits{};
+  const auto written = std::to_chars(digits.data(), digits.data() + digits.size(), start_ms, kBase);
   std::string id(name);
   id += kSeparator;
   id.append(digits.data(), written.ptr);
@@ -33,12 +33,12 @@
 
 std::uint64_t replicaBorn(const ReplicaId& id) {
   const std::size_t separator = id.value.rfind(kSeparator);
-  std::uint64_t born = 0;
+  std::uint64_t start_ms = 0;
   if (separator != std::string::npos) {
     const char* begin = id.value.data() + separator + 1;
-    std::from_chars(begin, id.value.data() + id.value.size(), born, kBase);
+    std::from_chars(begin, id.value.data() + id.value.size(), start_ms, kBase);
   }
-  return born;
+  return start_ms;
 }
 
 }  // namespace ferryrock::wire
--- a/src/wire/replica_life.h
+++ b/src/wire/replica_life.h
@@ -10,9 +10,9 @@
 /// incarnation has its own id, so that nothing known of one incarnation is applied to another.
 namespace ferryrock::wire {
 
-/// Id of the incarnation that started at `born` (Unix milliseconds; 0: the replica doesn't report its start
-/// time, and its name alone is the id). Ids differ if the names or the start times do.
-ReplicaId replicaLife(std::string_view name, std::uint64_t born);
+/// Id of the incarnation that started at `start_ms` (Unix milliseconds; 0: the replica doesn't report its
+/// start time, and its name alone is the id). Ids differ if the names or the start times do.
+ReplicaId replicaLife(std::string_view name, std::uint64_t start_ms);
 
 /// The name that the replica reports.
 std::string replicaName(const ReplicaId& id);
--- a/tests/tenancy/quota_history_test.cc
+++ b/tests/tenancy/quota_history_test.cc
@@ -37,7 +37,7 @@
 TEST_CASE("Usage from before a leader's start counts for a whole window, at any offset within a second") {
   constexpr double kPerSecond = 1000;
   const auto used_at = GENERATE(0ms, 100ms, 500ms, 900ms, 999ms);
-  const auto told_after = GENERATE(20ms, 600ms, 1150ms, 3980ms);
+  const auto report_delay = GENERATE(20ms, 600ms, 1150ms, 3980ms);
   const QuotaTolerance exact{8s, 0, 0};
   QuotaClientSettings settings;
   settings.router = NodeName("edge-1");
@@ -50,17 +50,17 @@
   const wire::ServiceCatalog catalog = catalogWithQuota(kPerSecond);
   REQUIRE(client.request(1, catalog.tenants.front(), 8000, used).verdict == QuotaVerdict::Granted);
 
-  const TimePoint told = used + told_after;
-  QuotaLedger next(exact, told);
-  next.setCatalog(catalog, told);
+  const TimePoint reported_at = used + report_delay;
+  QuotaLedger next(exact, reported_at);
+  next.setCatalog(catalog, reported_at);
   const NodeName next_leader("control-2");
-  client.onUpdate(next_leader, {}, told);
-  next.accept(*client.message(next_leader, told), told);
-  constexpr bool kAllHeard = true;
-  next.followRouters(std::map<NodeName, int>{{NodeName("edge-1"), 0}}, kAllHeard);
+  client.onUpdate(next_leader, {}, reported_at);
+  next.accept(*client.message(next_leader, reported_at), reported_at);
+  constexpr bool kComplete = true;
+  next.followRouters(std::map<NodeName, int>{{NodeName("edge-1"), 0}}, kComplete);
   std::uint64_t asked = 0;
-  INFO("used at " << used_at.count() << " ms, reported " << told_after.count() << " ms later");
-  for (TimePoint at = told + 10ms; at < used + 8s; at += 70ms) {
+  INFO("used at " << used_at.count() << " ms, reported " << report_delay.count() << " ms later");
+  for (TimePoint at = reported_at + 10ms; at < used + 8s; at += 70ms) {
     REQUIRE_FALSE(grants(next, ++asked, at));
   }
   // The history has whole seconds without their start, and the leader's slots are a tenth of a second long.
--- a/tests/tenancy/quota_load_test.cc
+++ b/tests/tenancy/quota_load_test.cc
@@ -20,23 +20,23 @@
   const auto load = GENERATE(LoadCase{"large", 180'000, 61}, LoadCase{"small", 2'700, 0.9});
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(load.per_second, load.per_second);
-  QuotaWorld world(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
-  world.run(20s, load.calls_per_second, 1'630);
+  QuotaSimulation simulation(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
+  simulation.run(20s, load.calls_per_second, 1'630);
   INFO(load.name << " with seed " << seed);
-  CHECK(world.verdicts[QuotaVerdict::Unavailable] == 0);
-  CHECK(world.refused_within == 0);
+  CHECK(simulation.verdicts[QuotaVerdict::Unavailable] == 0);
+  CHECK(simulation.refused_within_limit == 0);
 }
 
 TEST_CASE("A tenant at six times its usual rate gets its quota and no more") {
   const auto load = GENERATE(LoadCase{"large", 180'000, 370}, LoadCase{"small", 2'700, 5.5});
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(load.per_second, load.per_second);
-  QuotaWorld world(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
-  world.run(4s, load.calls_per_second / 6, 1'630);
-  world.run(12s, load.calls_per_second, 1'630);
+  QuotaSimulation simulation(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
+  simulation.run(4s, load.calls_per_second / 6, 1'630);
+  simulation.run(12s, load.calls_per_second, 1'630);
   INFO(load.name << " with seed " << seed);
-  CHECK(world.most(8s) <= allowed(tenant, kTolerance));
-  CHECK(world.most(8s) >= 0.9 * load.per_second * 8);
+  CHECK(simulation.maxInWindow(8s) <= allowed(tenant, kTolerance));
+  CHECK(simulation.maxInWindow(8s) >= 0.9 * load.per_second * 8);
 }
 
 /// A tenant sends at half of its limit and rises to 3.3 times the limit. In the first two seconds of the
@@ -45,14 +45,14 @@
 TEST_CASE("A tenant whose rate rises can use its unused credit at once") {
   const auto seed = GENERATE(range(1, 9));
   const wire::Tenant tenant = limitedTenant(180'000, 0);
-  QuotaWorld world(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
-  world.run(9s, 33, 3'000);
-  const TimePoint rise = world.now();
-  world.run(2s, 190, 3'000);
-  const double within = 180'000.0 * 8 - inWindow(world.ran, rise - 6s, 6s);
+  QuotaSimulation simulation(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
+  simulation.run(9s, 33, 3'000);
+  const TimePoint rise = simulation.now();
+  simulation.run(2s, 190, 3'000);
+  const double within = 180'000.0 * 8 - inWindow(simulation.ran, rise - 6s, 6s);
   INFO("seed " << seed);
-  CHECK(inWindow(world.ran, rise, 2s) >= 0.95 * within);
-  CHECK(world.most(8s) <= allowed(tenant, kTolerance));
+  CHECK(inWindow(simulation.ran, rise, 2s) >= 0.95 * within);
+  CHECK(simulation.maxInWindow(8s) <= allowed(tenant, kTolerance));
 }
 
 TEST_CASE(
@@ -62,33 +62,33 @@
   const auto lost_at = GENERATE(-200ms, 0ms, 300ms, 1000ms, 3000ms);
   const auto seed = GENERATE(range(1, 7));
   const wire::Tenant tenant = limitedTenant(load.per_second, load.per_second);
-  QuotaWorld world(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
+  QuotaSimulation simulation(87, tenant, kTolerance, static_cast<std::uint64_t>(seed));
   const double usual = load.calls_per_second / 6;
-  world.run(6s + std::min<Duration>(0ms, lost_at), usual, 1'630);
-  world.run(std::max<Duration>(0ms, lost_at), load.calls_per_second, 1'630);
-  world.loseLeader();
-  world.run(std::max<Duration>(0ms, -lost_at), usual, 1'630);
-  world.run(3s, load.calls_per_second, 1'630);
-  world.elect();
-  world.run(6s, load.calls_per_second, 1'630);
+  simulation.run(6s + std::min<Duration>(0ms, lost_at), usual, 1'630);
+  simulation.run(std::max<Duration>(0ms, lost_at), load.calls_per_second, 1'630);
+  simulation.loseLeader();
+  simulation.run(std::max<Duration>(0ms, -lost_at), usual, 1'630);
+  simulation.run(3s, load.calls_per_second, 1'630);
+  simulation.elect();
+  simulation.run(6s, load.calls_per_second, 1'630);
   INFO(load.name << ", leader lost " << lost_at.count() << " ms after the rise, seed " << seed);
-  CHECK(world.most(8s) <= allowed(tenant, kTolerance));
+  CHECK(simulation.maxInWindow(8s) <= allowed(tenant, kTolerance));
 }
 
 /// Each credit request delays its call and adds load to a leader that has just started.
 TEST_CASE("Calls of tenants within their limits request no credit from a new leader") {
   const wire::Tenant tenant = limitedTenant(180'000, 180'000);
-  QuotaWorld world(87, tenant, kTolerance, 3);
-  world.run(6s, 61, 1'630);
-  world.loseLeader();
-  world.run(1s, 61, 1'630);
-  world.elect();
-  world.run(200ms, 61, 1'630);  // the routers receive the new leader's updates
-  world.verdicts.clear();
-  world.run(10s, 61, 1'630);
-  CHECK(world.verdicts[QuotaVerdict::Asked] == 0);
-  CHECK(world.verdicts[QuotaVerdict::Unavailable] == 0);
-  CHECK(world.verdicts[QuotaVerdict::Granted] > 500);
+  QuotaSimulation simulation(87, tenant, kTolerance, 3);
+  simulation.run(6s, 61, 1'630);
+  simulation.loseLeader();
+  simulation.run(1s, 61, 1'630);
+  simulation.elect();
+  simulation.run(200ms, 61, 1'630);  // the routers receive the new leader's updates
+  simulation.verdicts.clear();
+  simulation.run(10s, 61, 1'630);
+  CHECK(simulation.verdicts[QuotaVerdict::Asked] == 0);
+  CHECK(simulation.verdicts[QuotaVerdict::Unavailable] == 0);
+  CHECK(simulation.verdicts[QuotaVerdict::Granted] > 500);
 }
 
 }  // namespace
--- a/tests/tenancy/quota_test.cc
+++ b/tests/tenancy/quota_test.cc
@@ -24,8 +24,8 @@
 
 const NodeName kLeader("control-1");
 
-void giveBackTo(QuotaClient& client, const TenantName& tenant, std::int64_t cost, const QuotaReply& reply,
-                TimePoint now) {
+void refundTo(QuotaClient& client, const TenantName& tenant, std::int64_t cost, const QuotaReply& reply,
+              TimePoint now) {
   client.giveBack(tenant, cost, reply.account, now);
 }
 
@@ -59,7 +59,7 @@
   QuotaBucket bucket({100, 50}, 50, kStart);
   CHECK(bucket.grant(250, kStart));  // granted although it is larger than the burst
   CHECK_FALSE(bucket.grant(1, kStart));
-  CHECK(bucket.untilCredit(kStart) == 2s);
+  CHECK(bucket.timeUntilCredit(kStart) == 2s);
   CHECK_FALSE(bucket.grant(1, kStart + 1999ms));
   CHECK(bucket.grant(1, kStart + 2001ms));
 }
@@ -122,7 +122,7 @@
   QuotaLedger ledger(kTolerance, kStart);
   ledger.setCatalog(catalogOf(limitedTenant(180'000, 0)), kStart);
   const TenantName tenant("a");
-  const auto tell = [&](const std::string& name, std::int64_t amount) {
+  const auto report = [&](const std::string& name, std::int64_t amount) {
     wire::QuotaUse use;
     use.router = NodeName(name);
     use.incarnation = 7;
@@ -137,10 +137,10 @@
   for (const char* name : {"edge-1", "edge-2", "edge-3", "edge-4"}) {
     routers[NodeName(name)] = 0;
   }
-  tell("edge-1", 100'000);
-  tell("edge-2", 100'000);
-  constexpr bool kAllHeard = true;
-  ledger.followRouters(routers, kAllHeard);
+  report("edge-1", 100'000);
+  report("edge-2", 100'000);
+  constexpr bool kComplete = true;
+  ledger.followRouters(routers, kComplete);
   std::uint64_t sequence = 1;
   const auto granted = [&](TimePoint at) {
     wire::QuotaUse ask;
@@ -159,12 +159,12 @@
   spent.spent = {{tenant, 100'000 + 600'000}};
   ledger.accept(spent, kStart + 30ms);
   CHECK_FALSE(granted(kStart + 40ms));
-  constexpr bool kNotAllHeard = false;
-  ledger.followRouters(routers, kNotAllHeard);
+  constexpr bool kIncomplete = false;
+  ledger.followRouters(routers, kIncomplete);
   CHECK_FALSE(granted(kStart + 50ms));
-  tell("edge-3", 0);
-  tell("edge-4", 0);
-  ledger.followRouters(routers, kAllHeard);
+  report("edge-3", 0);
+  report("edge-4", 0);
+  ledger.followRouters(routers, kComplete);
   CHECK(granted(kStart + 60ms));
 }
 
@@ -185,10 +185,10 @@
   answer.decisions = {{1, true, 0}};
   CHECK(client.accept(answer, kStart).empty());
   CHECK(client.accept(answer, kStart).empty());
-  const auto told = client.message(kLeader, kStart + 60ms);
-  REQUIRE(told.has_value());
-  REQUIRE(told->spent.size() == 1);
-  CHECK(told->spent[0].total == -300);
+  const auto last_message = client.message(kLeader, kStart + 60ms);
+  REQUIRE(last_message.has_value());
+  REQUIRE(last_message->spent.size() == 1);
+  CHECK(last_message->spent[0].total == -300);
 }
 
 /// A call was charged under one leader and refused under the next. Its refund went to an account that never
@@ -198,8 +198,8 @@
 TEST_CASE("A refund under a different leader than the one that charged the call adds no credit") {
   struct Moment {
     const char* name;
-    bool told_before;   ///< the charge was reported to the previous leader
-    bool whole_before;  ///< the new leader had the totals before the refund
+    bool reported_to_previous;  ///< the charge was reported to the previous leader
+    bool reported_to_next;      ///< the new leader had the totals before the refund
     bool granted_by_ask;
   };
   for (const Moment& moment :
@@ -219,7 +219,8 @@
     client.onUpdate(kLeader, update, kStart);
     client.message(kLeader, kStart);
     QuotaReply reply = client.request(1, tenant, 300, kStart);
-    const auto told = moment.told_before ? client.message(kLeader, kStart + 60ms) : std::nullopt;
+    const auto last_message =
+        moment.reported_to_previous ? client.message(kLeader, kStart + 60ms) : std::nullopt;
     if (moment.granted_by_ask) {
       wire::QuotaAnswer answer;
       answer.incarnation = 9;
@@ -231,10 +232,10 @@
     next.setCatalog(catalogOf(tenant), kStart);
     const NodeName next_leader("control-2");
     client.onUpdate(next_leader, {}, kStart + 100ms);
-    if (moment.whole_before) {
+    if (moment.reported_to_next) {
       next.accept(*client.message(next_leader, kStart + 110ms), kStart + 110ms);
     }
-    giveBackTo(client, tenant.name, 300, reply, kStart + 120ms);
+    refundTo(client, tenant.name, 300, reply, kStart + 120ms);
     if (const auto last = client.message(next_leader, kStart + 200ms)) {
       next.accept(*last, kStart + 200ms);
     }
@@ -256,7 +257,7 @@
   const QuotaReply reply = client.request(1, tenant, 300, kStart);
   ledger.accept(*client.message(kLeader, kStart + 60ms), kStart + 60ms);
   CHECK(ledger.counts().charged == 300);
-  giveBackTo(client, tenant.name, 300, reply, kStart + 70ms);
+  refundTo(client, tenant.name, 300, reply, kStart + 70ms);
   ledger.accept(*client.message(kLeader, kStart + 130ms), kStart + 130ms);
   CHECK(ledger.counts().charged == 0);
 }
@@ -291,14 +292,14 @@
 }
 
 /// QuotaUse as listed by builds without replica loads.
-struct FormerQuotaUse {
+struct LegacyQuotaUse {
   NodeName router;
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   bool whole = false;
   std::vector<wire::QuotaSpent> spent;
   std::vector<wire::QuotaAsk> asks;
-  FERRYROCK_FIELDS(FormerQuotaUse, router, incarnation, sequence, whole, spent, asks)
+  FERRYROCK_FIELDS(LegacyQuotaUse, router, incarnation, sequence, whole, spent, asks)
 };
 
 TEST_CASE("A leader whose build has no replica loads gets QuotaUse in its legacy layout") {
@@ -311,9 +312,9 @@
   client.onUpdate(kLeader, update, kStart);
   client.request(1, tenant, 300, kStart);
   const std::string bytes = wire::encode(*client.message(kLeader, kStart + 60ms));
-  FormerQuotaUse use;
-  REQUIRE_NOTHROW(use = wire::decode<FormerQuotaUse>(bytes));
-  FormerQuotaUse expected;
+  LegacyQuotaUse use;
+  REQUIRE_NOTHROW(use = wire::decode<LegacyQuotaUse>(bytes));
+  LegacyQuotaUse expected;
   expected.router = settings.router;
   expected.sequence = 1;
   expected.whole = true;
--- a/tests/tenancy/quota_world.h
+++ b/tests/tenancy/quota_world.h
@@ -47,13 +47,13 @@
 
 /// Time from a leader's decision until every router has it: a round of updates to 300 routers, and the
 /// network delay.
-inline constexpr Duration kWordToAll = std::chrono::milliseconds(80);
+inline constexpr Duration kUpdatePropagation = std::chrono::milliseconds(80);
 
 /// Routers and a leader that exchange messages on a simulated clock.
-class QuotaWorld {
+class QuotaSimulation {
  public:
-  QuotaWorld(std::size_t routers, const wire::Tenant& tenant, const QuotaTolerance& tolerance,
-             std::uint64_t seed)
+  QuotaSimulation(std::size_t routers, const wire::Tenant& tenant, const QuotaTolerance& tolerance,
+                  std::uint64_t seed)
       : tenant_(tenant),
         tolerance_(tolerance),
         random_(seed),
@@ -85,11 +85,11 @@
     while (now_ < end) {
       now_ += std::chrono::milliseconds(5);
       if (ledger_ && ledger_->refresh(now_)) {
-        next_update = std::min(next_update, now_ + kWordToAll);
+        next_update = std::min(next_update, now_ + kUpdatePropagation);
       }
       if (now_ >= next_update) {
         next_update = now_ + std::chrono::milliseconds(200);
-        tellRouters();
+        sendUpdates();
       }
       if (random_.chance(calls_per_second * 0.005)) {
         call(cost);
@@ -99,21 +99,21 @@
   }
 
   TimePoint now() const { return now_; }
-  double most(Duration window) const {
-    double most = 0;
+  double maxInWindow(Duration window) const {
+    double maximum = 0;
     for (const Charge& charge : ran) {
-      most = std::max(most, inWindow(ran, charge.at, window));
+      maximum = std::max(maximum, inWindow(ran, charge.at, window));
     }
-    return most;
+    return maximum;
   }
   std::vector<Charge> ran;
   std::map<QuotaVerdict, std::size_t> verdicts;
   /// Calls that were refused although a single bucket with the exact quota would have granted them, at times
   /// when less was granted in total than by that bucket.
-  std::size_t refused_within = 0;
+  std::size_t refused_within_limit = 0;
 
  private:
-  void tellRouters() {
+  void sendUpdates() {
     if (!ledger_) {
       return;
     }
@@ -129,14 +129,14 @@
     costs_[++calls_] = cost;
     const bool within = exact_.grant(static_cast<double>(cost), now_);
     exact_granted_ += within ? static_cast<double>(cost) : 0;
-    within_[calls_] = within;
+    within_limit_[calls_] = within;
     const QuotaReply reply = client.request(calls_, tenant_, cost, now_);
     settle(calls_, reply);
   }
   void settle(std::uint64_t number, const QuotaReply& reply) {
     ++verdicts[reply.verdict];
     const bool refused = reply.verdict == QuotaVerdict::Spent || reply.verdict == QuotaVerdict::Unavailable;
-    refused_within += refused && within_[number] && granted_ < exact_granted_ ? 1 : 0;
+    refused_within_limit += refused && within_limit_[number] && granted_ < exact_granted_ ? 1 : 0;
     if (reply.verdict == QuotaVerdict::Granted) {
       ran.push_back({now_, static_cast<double>(costs_[number])});
       granted_ += static_cast<double>(costs_[number]);
@@ -167,7 +167,7 @@
   std::vector<QuotaClient> clients_;
   std::uint64_t calls_ = 0;
   std::map<std::uint64_t, std::int64_t> costs_;
-  std::map<std::uint64_t, bool> within_;
+  std::map<std::uint64_t, bool> within_limit_;
   QuotaBucket exact_;
   double exact_granted_ = 0;
   double granted_ = 0;
@@ -176,7 +176,7 @@
 /// Usage that the quota and its tolerance allow in a window.
 inline double allowed(const wire::Tenant& tenant, const QuotaTolerance& tolerance) {
   return tenant.quota->per_second * toSeconds(tolerance.window) + tenant.quota->burst +
-         allowedBeyond(tolerance, *tenant.quota);
+         allowedOverrun(tolerance, *tenant.quota);
 }
 
 }  // namespace ferryrock::tenancy
--- a/tests/wire/recorded_messages_test.cc
+++ b/tests/wire/recorded_messages_test.cc
@@ -119,35 +119,35 @@
 }
 
 /// Messages as known to the build before subscriber tables: each list of members ends earlier.
-struct FormerHello {
+struct LegacyHello {
   MemberId id;
   NodeName node;
   std::string address;
   std::string http;
   bool has_leader = false;
-  FERRYROCK_FIELDS(FormerHello, id, node, address, http, has_leader)
+  FERRYROCK_FIELDS(LegacyHello, id, node, address, http, has_leader)
 };
-struct FormerList {
+struct LegacyMemberList {
   std::vector<NodeName> nodes;
   NodeName leader;
-  FERRYROCK_FIELDS(FormerList, nodes, leader)
+  FERRYROCK_FIELDS(LegacyMemberList, nodes, leader)
 };
 
 TEST_CASE("The earlier build decodes messages of members without the new fields") {
   MemberHello hello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true, 9, {}};
   hello.contacts = {{NodeName("edge-1"), ZoneName("z"), "edge-1:80", 5, true}};
-  const auto read_hello = decode<FormerHello>(encode(hello));
-  CHECK(read_hello == FormerHello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true});
+  const auto read_hello = decode<LegacyHello>(encode(hello));
+  CHECK(read_hello == LegacyHello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true});
   const MemberList list{{NodeName("c:1")}, NodeName("c:1"), 4000};
-  CHECK(decode<FormerList>(encode(list)) == FormerList{{NodeName("c:1")}, NodeName("c:1")});
+  CHECK(decode<LegacyMemberList>(encode(list)) == LegacyMemberList{{NodeName("c:1")}, NodeName("c:1")});
 }
 
 TEST_CASE("A peer of the earlier build gets whole tables and default status intervals") {
   const auto hello =
-      decode<MemberHello>(encode(FormerHello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true}));
+      decode<MemberHello>(encode(LegacyHello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true}));
   CHECK(hello.http == "c:2");
   CHECK_FALSE(hello.readsContacts());
-  CHECK(decode<MemberList>(encode(FormerList{{}, NodeName("c:1")})).status_interval_ms == 0);
+  CHECK(decode<MemberList>(encode(LegacyMemberList{{}, NodeName("c:1")})).status_interval_ms == 0);
   CHECK_FALSE(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).subscribes);
   CHECK(read<ServiceUpdate>(recorded::with_loads::kServiceUpdate).table == 0);
 }
