--- a/src/balance/call_cost.cc
+++ b/src/balance/call_cost.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "balance/uneven.h"
+#include "balance/slow_replica.h"
 
 namespace ferryrock::balance {
 namespace {
@@ -16,12 +16,12 @@
 }  // namespace
 
 double callCost(const CallShape& call, const CallCandidate& candidate) {
-  const FleetUse& use = candidate.use;
+  const FleetLoad& use = candidate.use;
   const double shared = candidate.is_home ? std::min(call.shared_tokens, call.prompt_tokens) : 0;
   const double prefill_tokens = call.prompt_tokens - shared;
-  const double wait = (use.unread_tokens + prefill_tokens) * use.slowness;
+  const double wait = (use.pending_prefill_tokens + prefill_tokens) * use.slowness;
   // A replica that isn't slow prefills a prompt between two events without a delay that callers notice.
-  const double delay_factor = use.slowness >= kUnevenSlowness ? kDelayedStreamShare * use.slowness : 0;
+  const double delay_factor = use.slowness >= kSlowReplicaThreshold ? kDelayedStreamShare * use.slowness : 0;
   const double prefill_delay = delay_factor * prefill_tokens * use.streams;
   const double stream_delay = delay_factor * use.tokens_per_s * call.stream_seconds;
   return wait + prefill_delay + stream_delay + (candidate.other_zone ? kOtherZoneTokens : 0);
--- a/src/balance/call_cost.h
+++ b/src/balance/call_cost.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "balance/load_board.h"
+#include "balance/fleet_load_view.h"
 #include "common/time.h"
 
 namespace ferryrock::balance {
@@ -16,7 +16,7 @@
 
 /// A candidate replica for a call.
 struct CallCandidate {
-  FleetUse use;
+  FleetLoad use;
   bool is_home = false;  ///< the replica to which calls with the same prompt prefix are routed
   bool other_zone = false;
 };
--- a/src/balance/pace_table.cc
+++ b/src/balance/event_gap_table.cc
@@ -1,4 +1,4 @@
-#include "balance/pace_table.h"
+#include "balance/event_gap_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,22 +34,22 @@
 /// corrected by their slowness.
 std::map<std::uint32_t, double> modelGaps(const std::vector<Sample>& samples,
                                           std::map<std::uint32_t, double>& slowness) {
-  std::map<std::uint32_t, double> paces;
+  std::map<std::uint32_t, double> event_gaps;
   for (const Sample& sample : samples) {
     const double gap = sample.gap - slowness[sample.replica];
-    const auto [entry, inserted] = paces.try_emplace(sample.model, gap);
+    const auto [entry, inserted] = event_gaps.try_emplace(sample.model, gap);
     entry->second = inserted ? gap : std::min(entry->second, gap);
   }
-  return paces;
+  return event_gaps;
 }
 
 /// Estimates the slowness of each replica as the mean over its models.
 std::map<std::uint32_t, double> replicaSlowness(const std::vector<Sample>& samples,
-                                                const std::map<std::uint32_t, double>& paces) {
+                                                const std::map<std::uint32_t, double>& event_gaps) {
   std::map<std::uint32_t, std::pair<double, int>> sums;
   for (const Sample& sample : samples) {
     auto& [sum, count] = sums[sample.replica];
-    sum += sample.gap - paces.at(sample.model);
+    sum += sample.gap - event_gaps.at(sample.model);
     ++count;
   }
   std::map<std::uint32_t, double> slowness;
@@ -61,20 +61,20 @@
 
 }  // namespace
 
-Duration PaceTable::GapRecord::shortest() const {
+Duration EventGapTable::GapRecord::shortest() const {
   return shorterNonZero(current, previous);
 }
 
-void PaceTable::accept(const std::vector<wire::ObservedPace>& paces, TimePoint now) {
+void EventGapTable::accept(const std::vector<wire::ObservedEventGap>& event_gaps, TimePoint now) {
   expire(now);
-  for (const wire::ObservedPace& observed : paces) {
+  for (const wire::ObservedEventGap& observed : event_gaps) {
     GapRecord& gap = gap_records_[{observed.model, observed.replica}];
-    gap.current = shorterNonZero(gap.current, std::chrono::microseconds(observed.pause_us));
+    gap.current = shorterNonZero(gap.current, std::chrono::microseconds(observed.gap_us));
     ++gap.current_reports;
   }
 }
 
-void PaceTable::expire(TimePoint now) {
+void EventGapTable::expire(TimePoint now) {
   if (now < window_end_) {
     return;
   }
@@ -93,7 +93,7 @@
 
 /// A model allows a comparison only if several replicas hold it. If all of them are slow, this shows only in
 /// the other models that they hold, so replica slowness and model gaps are estimated alternately.
-std::map<std::uint32_t, double> PaceTable::slowness() const {
+std::map<std::uint32_t, double> EventGapTable::slowness() const {
   std::vector<Sample> samples;
   for (auto first = gap_records_.begin(); first != gap_records_.end();) {
     const std::uint32_t model = first->first.first;
@@ -112,8 +112,8 @@
   }
   std::map<std::uint32_t, double> slowness;
   for (int iteration = 0; iteration < kIterations; ++iteration) {
-    const auto paces = modelGaps(samples, slowness);
-    slowness = replicaSlowness(samples, paces);
+    const auto event_gaps = modelGaps(samples, slowness);
+    slowness = replicaSlowness(samples, event_gaps);
   }
   double least = slowness.empty() ? 0 : slowness.begin()->second;
   for (const auto& [replica, value] : slowness) {
--- a/src/balance/pace_table.h
+++ b/src/balance/event_gap_table.h
@@ -14,9 +14,9 @@
 /// between two events of a stream. Concurrent prefill, full batches and the network only lengthen a gap, so
 /// the shortest gap within a few seconds reflects the speed of the replica itself. Not thread-safe; used by
 /// one thread.
-class PaceTable {
+class EventGapTable {
  public:
-  void accept(const std::vector<wire::ObservedPace>& paces, TimePoint now);
+  void accept(const std::vector<wire::ObservedEventGap>& event_gaps, TimePoint now);
   /// Drops gaps that are older than the window, so that a replica that was slow only for a while is used
   /// again.
   void expire(TimePoint now);
--- a/src/balance/load_tally.cc
+++ b/src/balance/fleet_load_aggregator.cc
@@ -1,4 +1,4 @@
-#include "balance/load_tally.h"
+#include "balance/fleet_load_aggregator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -26,27 +26,27 @@
 
 }  // namespace
 
-void LoadTally::accept(const wire::CallRouterStatus& status, TimePoint now) {
+void FleetLoadAggregator::accept(const wire::CallRouterStatus& status, TimePoint now) {
   decay(now);
   RouterReport& previous = routers_[status.router];
-  add(previous.uses, -1);
-  add(status.uses, 1);
-  for (const wire::ReplicaUse& use : status.uses) {
+  add(previous.local_loads, -1);
+  add(status.local_loads, 1);
+  for (const wire::LocalReplicaLoad& use : status.local_loads) {
     sums_[use.replica].decaying_tokens += use.sent_tokens;
   }
-  previous = {status.uses, now};
-  gap_table_.accept(status.paces, now);
+  previous = {status.local_loads, now};
+  gap_table_.accept(status.event_gaps, now);
 }
 
-void LoadTally::add(const std::vector<wire::ReplicaUse>& uses, std::int64_t sign) {
-  for (const wire::ReplicaUse& use : uses) {
+void FleetLoadAggregator::add(const std::vector<wire::LocalReplicaLoad>& local_loads, std::int64_t sign) {
+  for (const wire::LocalReplicaLoad& use : local_loads) {
     Sum& sum = sums_[use.replica];
     sum.streams += sign * use.streams;
-    sum.unread_tokens += sign * use.unread_tokens;
+    sum.pending_prefill_tokens += sign * use.pending_prefill_tokens;
   }
 }
 
-void LoadTally::decay(TimePoint now) {
+void FleetLoadAggregator::decay(TimePoint now) {
   const double passed = std::max(0.0, toSeconds(now - decayed_at_));
   decayed_at_ = now;
   const double kept = std::exp(-passed / kRateDecaySeconds);
@@ -55,10 +55,10 @@
   }
 }
 
-void LoadTally::expire(TimePoint now) {
+void FleetLoadAggregator::expire(TimePoint now) {
   for (auto router = routers_.begin(); router != routers_.end();) {
     if (now - router->second.received_at > kRouterTimeout) {
-      add(router->second.uses, -1);
+      add(router->second.local_loads, -1);
       router = routers_.erase(router);
     } else {
       ++router;
@@ -68,11 +68,11 @@
   gap_table_.expire(now);
   std::erase_if(sums_, [](const auto& item) {
     const Sum& sum = item.second;
-    return sum.streams == 0 && sum.unread_tokens == 0 && sum.decaying_tokens < kMinRate;
+    return sum.streams == 0 && sum.pending_prefill_tokens == 0 && sum.decaying_tokens < kMinRate;
   });
 }
 
-const std::map<std::uint32_t, double>& LoadTally::slowness(TimePoint now) {
+const std::map<std::uint32_t, double>& FleetLoadAggregator::slowness(TimePoint now) {
   if (now - slowness_computed_at_ >= kSlownessCacheTtl) {
     slowness_computed_at_ = now;
     slowness_ = gap_table_.slowness();
@@ -80,7 +80,7 @@
   return slowness_;
 }
 
-std::vector<wire::ReplicaLoad> LoadTally::loads(TimePoint now) {
+std::vector<wire::ReplicaLoad> FleetLoadAggregator::loads(TimePoint now) {
   if (now - loads_computed_at_ < kLoadsCacheTtl) {
     return loads_;
   }
@@ -90,7 +90,7 @@
   for (const auto& [replica, sum] : sums_) {
     const double rate = sum.decaying_tokens / kRateDecaySeconds;
     if (sum.streams > 0 || rate >= kMinRate) {
-      loads[replica] = {replica, nonNegative(sum.streams), nonNegative(sum.unread_tokens),
+      loads[replica] = {replica, nonNegative(sum.streams), nonNegative(sum.pending_prefill_tokens),
                         static_cast<std::uint32_t>(rate), 0};
     }
   }
--- a/src/balance/load_tally.h
+++ b/src/balance/fleet_load_aggregator.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <vector>
 
-#include "balance/pace_table.h"
+#include "balance/event_gap_table.h"
 #include "common/time.h"
 #include "wire/service_messages.h"
 
@@ -13,7 +13,7 @@
 /// Aggregates the loads that routers report for their own calls. Owned by the leader; after a change of
 /// leader, the aggregates are complete as soon as each router has sent its next status. Not thread-safe; used
 /// by one thread.
-class LoadTally {
+class FleetLoadAggregator {
  public:
   void accept(const wire::CallRouterStatus& status, TimePoint now);
   /// Drops routers that have stopped reporting, and applies the decay of rates and event gaps.
@@ -25,21 +25,21 @@
 
  private:
   struct RouterReport {
-    std::vector<wire::ReplicaUse> uses;
+    std::vector<wire::LocalReplicaLoad> local_loads;
     TimePoint received_at{};
   };
   struct Sum {
     std::int64_t streams = 0;
-    std::int64_t unread_tokens = 0;
+    std::int64_t pending_prefill_tokens = 0;
     double decaying_tokens = 0;  ///< prompt tokens sent there, decaying over kRateDecaySeconds
   };
 
-  void add(const std::vector<wire::ReplicaUse>& uses, std::int64_t sign);
+  void add(const std::vector<wire::LocalReplicaLoad>& local_loads, std::int64_t sign);
   void decay(TimePoint now);
 
   std::map<NodeName, RouterReport> routers_;
   std::map<std::uint32_t, Sum> sums_;
-  PaceTable gap_table_;
+  EventGapTable gap_table_;
   TimePoint decayed_at_{};
   std::map<std::uint32_t, double> slowness_;
   TimePoint slowness_computed_at_{};
--- a/src/balance/load_board.cc
+++ b/src/balance/fleet_load_view.cc
@@ -1,4 +1,4 @@
-#include "balance/load_board.h"
+#include "balance/fleet_load_view.h"
 
 #include <algorithm>
 
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-void LoadBoard::onReported(const std::vector<wire::ReplicaUse>& uses) {
+void FleetLoadView::onReported(const std::vector<wire::LocalReplicaLoad>& local_loads) {
   reported_.clear();
-  for (const wire::ReplicaUse& use : uses) {
+  for (const wire::LocalReplicaLoad& use : local_loads) {
     reported_[use.replica] = use;
   }
 }
 
-void LoadBoard::accept(const std::vector<wire::ReplicaLoad>& loads, TimePoint now) {
+void FleetLoadView::accept(const std::vector<wire::ReplicaLoad>& loads, TimePoint now) {
   loads_.clear();
   for (const wire::ReplicaLoad& load : loads) {
     loads_[load.replica] = load;
@@ -34,35 +34,36 @@
   accepted_ = now;
 }
 
-bool LoadBoard::isFresh(TimePoint now) const {
+bool FleetLoadView::isFresh(TimePoint now) const {
   return accepted_ && now - *accepted_ <= kMaxLoadsAge;
 }
 
-std::optional<Duration> LoadBoard::age(TimePoint now) const {
+std::optional<Duration> FleetLoadView::age(TimePoint now) const {
   return accepted_ ? std::optional(now - *accepted_) : std::nullopt;
 }
 
-double LoadBoard::slowness(std::uint32_t replica) const {
+double FleetLoadView::slowness(std::uint32_t replica) const {
   const auto speed = speeds_.find(replica);
   return speed == speeds_.end() ? 1 : std::max(1.0, speed->second.slowness);
 }
 
-FleetUse LoadBoard::estimateLoad(std::uint32_t replica, const OwnUse& own) const {
-  FleetUse use;
+FleetLoad FleetLoadView::estimateLoad(std::uint32_t replica, const LocalLoad& own) const {
+  FleetLoad use;
   use.slowness = slowness(replica);
   const auto load = loads_.find(replica);
   const auto reported = reported_.find(replica);
   if (load != loads_.end()) {
     use.streams = load->second.streams;
-    use.unread_tokens = load->second.unread_tokens;
+    use.pending_prefill_tokens = load->second.pending_prefill_tokens;
     use.tokens_per_s = load->second.tokens_per_s;
   }
   if (reported != reported_.end()) {
     use.streams -= reported->second.streams;
-    use.unread_tokens -= reported->second.unread_tokens;
+    use.pending_prefill_tokens -= reported->second.pending_prefill_tokens;
   }
   use.streams = std::max(0.0, use.streams) + own.streams;
-  use.unread_tokens = std::max(0.0, use.unread_tokens) + static_cast<double>(own.unread_tokens);
+  use.pending_prefill_tokens =
+      std::max(0.0, use.pending_prefill_tokens) + static_cast<double>(own.pending_prefill_tokens);
   return use;
 }
 
--- a/src/balance/load_board.h
+++ b/src/balance/fleet_load_view.h
@@ -11,16 +11,16 @@
 namespace ferryrock::balance {
 
 /// Load that this router itself has placed on a replica.
-struct OwnUse {
+struct LocalLoad {
   std::uint32_t streams = 0;
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t pending_prefill_tokens = 0;
 };
 
 /// Load of all routers on a replica, as estimated by one router.
-struct FleetUse {
+struct FleetLoad {
   double streams = 0;
-  double unread_tokens = 0;  ///< of prompts that were sent and have produced no event yet
-  double tokens_per_s = 0;   ///< rate of prompt tokens that were sent to the replica recently
+  double pending_prefill_tokens = 0;  ///< of prompts that were sent and have produced no event yet
+  double tokens_per_s = 0;            ///< rate of prompt tokens that were sent to the replica recently
   double slowness = 1;  ///< ratio of its event gap to that of the fastest replica that shares a model with it
 };
 
@@ -28,18 +28,18 @@
 /// the router's own share in them by its current local load. The aggregates are a few hundred milliseconds
 /// old. Without fresh aggregates, the router counts only its own load, as if there were no other routers. Not
 /// thread-safe; used by one thread.
-class LoadBoard {
+class FleetLoadView {
  public:
   /// Records the loads that this router last reported to the leader. They are its share in the aggregates
   /// that the leader publishes.
-  void onReported(const std::vector<wire::ReplicaUse>& uses);
+  void onReported(const std::vector<wire::LocalReplicaLoad>& local_loads);
   void accept(const std::vector<wire::ReplicaLoad>& loads, TimePoint now);
 
   /// Returns false if the aggregates are too old to be used, or if none was received.
   bool isFresh(TimePoint now) const;
   /// Returns the time since the aggregates were received; nullopt if none was.
   std::optional<Duration> age(TimePoint now) const;
-  FleetUse estimateLoad(std::uint32_t replica, const OwnUse& own) const;
+  FleetLoad estimateLoad(std::uint32_t replica, const LocalLoad& own) const;
   /// Returns the replica's slowness, above 1 if it is known to be slower than another replica, else 1.
   double slowness(std::uint32_t replica) const;
 
@@ -53,7 +53,7 @@
 
   std::map<std::uint32_t, wire::ReplicaLoad> loads_;
   std::map<std::uint32_t, Speed> speeds_;
-  std::map<std::uint32_t, wire::ReplicaUse> reported_;
+  std::map<std::uint32_t, wire::LocalReplicaLoad> reported_;
   std::optional<TimePoint> accepted_;
 };
 
--- a/src/balance/uneven.h
+++ b/src/balance/slow_replica.h
@@ -6,11 +6,11 @@
 /// same model. When long prompts are prefilled on a replica that is 2.2 times as slow as the others, 50 to 65
 /// of 100 concurrent streams stall for longer than the half second that callers tolerate; on the faster
 /// replicas none does. Where replicas differ by a factor of 1.3, no streams stall that long.
-constexpr double kUnevenSlowness = 1.5;
+constexpr double kSlowReplicaThreshold = 1.5;
 
 /// Returns the slowness to use in placement: 1 for a replica that isn't treated as slow.
-constexpr double countedSlowness(double slowness) {
-  return slowness >= kUnevenSlowness ? slowness : 1;
+constexpr double effectiveSlowness(double slowness) {
+  return slowness >= kSlowReplicaThreshold ? slowness : 1;
 }
 
 }  // namespace ferryrock::balance
--- a/src/calls/call.h
+++ b/src/calls/call.h
@@ -34,7 +34,7 @@
   std::uint64_t prompt_tokens = 0;
   std::uint64_t shared_tokens = 0;            ///< tokens in prompt parts that other calls share
   std::uint64_t answer_tokens = 0;            ///< upper bound of generated tokens
-  bool tells_tokens = false;                  ///< the call carries the token counts above
+  bool has_token_counts = false;              ///< the call carries the token counts above
   std::optional<std::uint64_t> resume_after;  ///< ID of the last stream event that the caller has received
   tenancy::Credential credential;
   wire::CallFingerprint fingerprint;  ///< identical whenever the caller repeats the same call
@@ -43,7 +43,7 @@
 /// The parts of a replica's response that decide how the call proceeds.
 struct AnswerSummary {
   int status = 0;
-  bool unrun = false;  ///< the replica states that it didn't run the call
+  bool proven_not_run = false;  ///< the replica states that it didn't run the call
 };
 
 /// Statements about a replica itself in the headers of a response. They hold for this incarnation of the
@@ -51,24 +51,24 @@
 struct ReplicaNotice {
   bool leaving = false;                      ///< the replica is draining and accepts no new calls
   std::optional<Duration> retry_after;       ///< requested backoff; above zero
-  std::string unread_retry_after;            ///< value of the header if it couldn't be parsed as a time
+  std::string malformed_retry_after;         ///< value of the header if it couldn't be parsed as a time
   std::optional<double> calls_per_second{};  ///< accepted from all routers together; 0 or above
-  bool names_no_limit = false;   ///< the replica ran the call and its response states no rate limit
-  std::string unread_limit{};    ///< value of the header if it couldn't be parsed as a number
-  std::string unknown_header{};  ///< name of the first replica header that this build doesn't know
+  bool limit_absent = false;      ///< the replica ran the call and its response states no rate limit
+  std::string malformed_limit{};  ///< value of the header if it couldn't be parsed as a number
+  std::string unknown_header{};   ///< name of the first replica header that this build doesn't know
 
   /// True if the notice contains nothing that has to be handled, except possibly the absence of a limit.
   bool empty() const {
-    return !leaving && !retry_after && unread_retry_after.empty() && !calls_per_second &&
-           unread_limit.empty() && unknown_header.empty();
+    return !leaving && !retry_after && malformed_retry_after.empty() && !calls_per_second &&
+           malformed_limit.empty() && unknown_header.empty();
   }
 };
 
 /// Why an attempt ended without a response that can be forwarded.
 enum class AttemptFailure : std::uint8_t {
-  NotSent,   ///< no byte was sent, so the call didn't run
-  Unproved,  ///< the call may have run
-  Foreign,   ///< the response belongs to another call; this call may have run
+  NotSent,          ///< no byte was sent, so the call didn't run
+  OutcomeUnknown,   ///< the call may have run
+  ForeignResponse,  ///< the response belongs to another call; this call may have run
 };
 
 /// Effect: send the call to a replica.
@@ -87,9 +87,9 @@
 
 /// Result of probing a replica that broke off a call.
 enum class ProbeOutcome : std::uint8_t {
-  Lives,    ///< the same incarnation responds at its address
-  Ended,    ///< the process has terminated: nothing listens at its address, or another incarnation does
-  Unknown,  ///< no response in time: the replica may be partitioned, frozen or slow
+  Alive,       ///< the same incarnation responds at its address
+  Terminated,  ///< the process has terminated: nothing listens at its address, or another incarnation does
+  Unknown,     ///< no response in time: the replica may be partitioned, frozen or slow
 };
 
 /// Effect: probe over a new connection whether the replica is still running. The result is passed to
--- a/src/calls/call_router.cc
+++ b/src/calls/call_router.cc
@@ -147,7 +147,7 @@
 
 void CallRouter::beginCall(CallPointer call, TimePoint now) {
   Call& state = call->second;
-  if (crashes_.standing(state.request.fingerprint) == quarantine::Standing::Quarantined) {
+  if (crashes_.quarantineState(state.request.fingerprint) == quarantine::QuarantineState::Quarantined) {
     refuseQuarantined(call, now);
     return;
   }
@@ -188,7 +188,7 @@
   if (state.tenant && !revalidateTenant(call, now)) {
     return;
   }
-  if (crashes_.standing(state.request.fingerprint) == quarantine::Standing::Quarantined) {
+  if (crashes_.quarantineState(state.request.fingerprint) == quarantine::QuarantineState::Quarantined) {
     refuseQuarantined(call, now);
     return;
   }
@@ -213,7 +213,7 @@
   }
 }
 
-void CallRouter::sendTo(CallPointer call, Replica& replica, const std::optional<balance::FleetUse>& use,
+void CallRouter::sendTo(CallPointer call, Replica& replica, const std::optional<balance::FleetLoad>& use,
                         TimePoint now) {
   Call& state = call->second;
   waiting_.erase(call->first);
@@ -223,8 +223,8 @@
   attempt.number = number;
   attempt.replica = replica.routed.id;
   attempt.sent = now;
-  attempt.unread_tokens = state.need.prompt_tokens;
-  replica.unread_tokens += state.need.prompt_tokens;
+  attempt.pending_prefill_tokens = state.need.prompt_tokens;
+  replica.pending_prefill_tokens += state.need.prompt_tokens;
   replica.sent_tokens += state.need.prompt_tokens;
   state.need.tried.insert(replica.routed.id);
   ++state.attempts;
@@ -245,7 +245,7 @@
   effect.streaming = state.route->kind == wire::CallKind::Streaming;
   effect.priority = state.priority;
   effect.tenant = state.tenant;
-  effect.withhold_key = state.routes->keys().inUse();
+  effect.withhold_key = state.routes->keys().requiresKeys();
   effect.resume_after = state.last_event ? state.last_event : state.request.resume_after;
   log_.write(LogLevel::Info, "call.sent",
              {{"request", view(state.request.id.value)},
@@ -259,7 +259,7 @@
     log_.write(LogLevel::Info, "call.balanced",
                {{"request", view(state.request.id.value)},
                 {"streams", use->streams},
-                {"unread_tokens", use->unread_tokens},
+                {"unread_tokens", use->pending_prefill_tokens},
                 {"tokens_per_s", use->tokens_per_s},
                 {"slowness", use->slowness},
                 {"loads_age_ms", toMilliseconds(*replicas_.loadBoard().age(now))}});
@@ -281,8 +281,8 @@
   waiting.arrived = call.arrived;
   waiting.deadline = call.deadline;
   waiting.target = targetOf(*call.route);
-  if (call.route->patience_ms > 0) {
-    waiting.caller_idle_timeout = std::chrono::milliseconds(call.route->patience_ms);
+  if (call.route->caller_idle_timeout_ms > 0) {
+    waiting.caller_idle_timeout = std::chrono::milliseconds(call.route->caller_idle_timeout_ms);
   }
   waiting.not_started = !call.started && !call.may_have_run;
   return waiting;
@@ -418,7 +418,7 @@
   if (call->second.attempt) {
     effects_.emplace_back(CancelAttemptEffect{call->second.attempt->number});
   }
-  giveBack(call->second, now);
+  returnCredit(call->second, now);
   erase(call);
   return finish(now);
 }
--- a/src/calls/call_router.h
+++ b/src/calls/call_router.h
@@ -47,18 +47,18 @@
   std::uint64_t unknown_keys = 0;     ///< refused: no key, or a key that belongs to no tenant
   std::uint64_t unproved = 0;         ///< refused: the catalog isn't proven to be current
   std::uint64_t quota_spent = 0;      ///< refused: the tenant's quota is used up
-  std::uint64_t quota_asked = 0;      ///< calls that waited for quota credit from the leader
-  std::uint64_t quota_unknown = 0;    ///< refused: no leader was available to decide on their credit
-  std::uint64_t replica_ends = 0;     ///< replicas found terminated after they broke off a call
+  std::uint64_t quota_waits = 0;      ///< calls that waited for quota credit from the leader
+  std::uint64_t quota_undecided = 0;  ///< refused: no leader was available to decide on their credit
+  std::uint64_t replica_crashes = 0;  ///< replicas found terminated after they broke off a call
   std::uint64_t quarantined = 0;      ///< refused: too many replicas crashed while running the call
   std::uint64_t backoffs = 0;         ///< responses in which a replica requested a backoff
-  std::uint64_t leaving_told = 0;     ///< responses in which a replica announced that it is draining
+  std::uint64_t leaving_notices = 0;  ///< responses in which a replica announced that it is draining
   std::uint64_t backoff_waits = 0;    ///< calls that waited for the end of a backoff
   std::uint64_t backoff_refused = 0;  ///< refused: all replicas that could run the call are in a backoff
-  std::uint64_t limits_named = 0;     ///< number of times that a replica's rate limit was set or changed
+  std::uint64_t limit_changes = 0;    ///< number of times that a replica's rate limit was set or changed
   std::uint64_t limit_waits = 0;      ///< calls that waited for credit under a replica's rate limit
   std::uint64_t limit_refused = 0;    ///< refused: no replica has credit left under its rate limit
-  std::uint64_t unknown_notices = 0;  ///< responses with a replica header that this build doesn't know
+  std::uint64_t unknown_notice_headers = 0;  ///< responses with a replica header that this build doesn't know
 };
 
 /// Router of calls as pure logic without I/O. Every call gets exactly one final response (a delivered
@@ -110,7 +110,7 @@
   const ReplicaNotices& replicaNotices() const { return replicas_.notices(); }
   const ReplicaLimits& replicaLimits() const { return replicas_.limits(); }
   /// Time at which a leader last confirmed the current catalog or sent a newer one; nullopt: never.
-  std::optional<TimePoint> controlHeard() const { return feed_.leaderHeard(); }
+  std::optional<TimePoint> lastControlContact() const { return feed_.lastLeaderContact(); }
   const std::set<NodeName>& controlMembers() const { return feed_.members(); }
   const tenancy::CatalogProof& catalogProof() const { return feed_.proof(); }
   const quarantine::CrashLedger& crashLedger() const { return crashes_; }
@@ -120,7 +120,7 @@
     AttemptNumber number;
     ReplicaId replica;
     TimePoint sent{};
-    std::uint64_t unread_tokens = 0;    ///< in the replica's prefill backlog until the first progress
+    std::uint64_t pending_prefill_tokens = 0;  ///< in the replica's prefill backlog until the first progress
     bool with_credit = false;           ///< the leader granted it a credit under the replica's rate limit
     std::uint64_t reopening_round = 0;  ///< backoff round that the attempt probes; 0: none, or accepted
     int measured_events = 0;            ///< number of events since measured_since
@@ -193,18 +193,19 @@
   /// Charges the tenant's quota. Returns false if the call was refused or waits for credit.
   bool charge(CallPointer call, const wire::Tenant& tenant, TimePoint now);
   void onQuotaReply(CallPointer call, const tenancy::QuotaReply& reply, TimePoint now);
-  void resolveQuotas(const std::vector<tenancy::QuotaResolved>& resolved, TimePoint now);
+  void resolveQuotas(const std::vector<tenancy::QuotaRequestOutcome>& resolved, TimePoint now);
   /// Records that the last attempt may have run. A further attempt is charged to the tenant's quota again.
   static void recordPossibleRun(Call& call);
   /// Charges the quota for an attempt that follows one which may have run: the quota counts what replicas run
   /// for the tenant, not what callers request.
   void chargeRetry(Call& call, TimePoint now);
   /// Refunds the quota charge of a call that certainly doesn't run.
-  void giveBack(Call& call, TimePoint now);
+  void returnCredit(Call& call, TimePoint now);
   void sendQuotaUse(TimePoint now);
   void routeUnroutedCalls(TimePoint now);
   void dispatch(CallPointer call, TimePoint now);
-  void sendTo(CallPointer call, Replica& replica, const std::optional<balance::FleetUse>& use, TimePoint now);
+  void sendTo(CallPointer call, Replica& replica, const std::optional<balance::FleetLoad>& use,
+              TimePoint now);
   void logReopening(const ReplicaId& replica, const ReplicaNotices::Reopening& reopening);
   void waitForReplica(CallPointer call, const Choice& choice, TimePoint now);
   static WaitingCall waitingCall(const Call& call);
@@ -229,8 +230,8 @@
   /// Releases the call's credit. A pending request is abandoned and an unused credit is returned to the
   /// leader.
   void releaseCredit(Call& call);
-  void resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now);
-  void resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now);
+  void resolveCredits(const std::vector<LimitRequestOutcome>& resolved, TimePoint now);
+  void resolveCredit(CallPointer call, const LimitRequestOutcome& resolved, TimePoint now);
   void sendLimitRequest(TimePoint now);
   // call_router_crashes.cc
   /// Starts a probe of the replica that broke off the call, unless one is pending.
@@ -275,9 +276,9 @@
   void applyUpdate(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now);
   /// Applies a catalog with a higher version, regardless of the member that sent it.
   void applyCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
-                    std::optional<TimePoint> leader_heard, TimePoint now);
+                    std::optional<TimePoint> last_leader_contact, TimePoint now);
   void logTableChanges(const wire::ServiceUpdate& update, TimePoint now);
-  std::vector<wire::ModelWant> wants(TimePoint now);
+  std::vector<wire::ModelCallCounts> model_calls(TimePoint now);
   void sendStatuses(TimePoint now);
   Effects finish(TimePoint now);
 
--- a/src/calls/call_router_attempts.cc
+++ b/src/calls/call_router_attempts.cc
@@ -40,13 +40,14 @@
 }
 
 void CallRouter::onPromptPrefilled(Attempt& attempt) {
-  if (attempt.unread_tokens == 0) {
+  if (attempt.pending_prefill_tokens == 0) {
     return;
   }
   if (Replica* replica = replicas_.find(attempt.replica)) {
-    replica->unread_tokens -= std::min(replica->unread_tokens, attempt.unread_tokens);
+    replica->pending_prefill_tokens -=
+        std::min(replica->pending_prefill_tokens, attempt.pending_prefill_tokens);
   }
-  attempt.unread_tokens = 0;
+  attempt.pending_prefill_tokens = 0;
 }
 
 void CallRouter::onAttemptAccepted(Attempt& attempt) {
@@ -82,14 +83,14 @@
   }
   Call& state = (*call)->second;
   const ReplicaId replica_id = state.attempt->replica;
-  if (!answer.unrun) {
+  if (!answer.proven_not_run) {
     onAttemptAccepted(*state.attempt);
   }
   Replica* replica = release(state);
   if (replica != nullptr) {
     dispatch_pending_ = ReplicaTable::onProgress(*replica, now) || dispatch_pending_;
   }
-  if (answer.unrun) {
+  if (answer.proven_not_run) {
     if (replica != nullptr && answer.status == kMisdirected && !state.need.model.empty()) {
       replica->recordMissing(state.need.model, state.need.adapter, now);
     } else if (replica != nullptr && !replicas_.notices().closedUntil(replica_id, now)) {
@@ -145,7 +146,7 @@
                              std::optional<TimePoint> sent, TimePoint now) {
   const ReplicaNotices::Change change = replicas_.notices().accept(replica, notice, now);
   if (change == ReplicaNotices::Change::Leaving) {
-    ++counts_.leaving_told;
+    ++counts_.leaving_notices;
     log_.write(LogLevel::Info, "replica.leaving_told", {{"replica", view(replica.value)}});
   }
   const auto closed_until = replicas_.notices().closedUntil(replica, now);
@@ -167,13 +168,13 @@
   ReplicaLimits::Change change = ReplicaLimits::Change::None;
   if (notice.calls_per_second) {
     change = limits.recordLimit(replica, *notice.calls_per_second, sent, now);
-  } else if (notice.names_no_limit && sent) {
+  } else if (notice.limit_absent && sent) {
     change = limits.recordNoLimit(replica, *sent);
   }
   if (change == ReplicaLimits::Change::Ended) {
     log_.write(LogLevel::Info, "replica.limit_ended", {{"replica", view(replica.value)}});
   } else if (change != ReplicaLimits::Change::None) {
-    ++counts_.limits_named;
+    ++counts_.limit_changes;
     log_.write(LogLevel::Info, "replica.limit",
                {{"replica", view(replica.value)},
                 {"calls_per_second", *limits.limitOf(replica)},
@@ -182,17 +183,17 @@
 }
 
 void CallRouter::logUnreadableHeaders(const ReplicaId& replica, const ReplicaNotice& notice, TimePoint now) {
-  counts_.unknown_notices += notice.unknown_header.empty() ? 0 : 1;
-  const bool unread =
-      !notice.unread_retry_after.empty() || !notice.unread_limit.empty() || !notice.unknown_header.empty();
+  counts_.unknown_notice_headers += notice.unknown_header.empty() ? 0 : 1;
+  const bool unread = !notice.malformed_retry_after.empty() || !notice.malformed_limit.empty() ||
+                      !notice.unknown_header.empty();
   if (!unread || now < next_unreadable_log_) {
     return;
   }
   next_unreadable_log_ = now + kUnreadableLogInterval;
   log_.write(LogLevel::Warning, "replica.notice_unread",
              {{"replica", view(replica.value)},
-              {"retry_after", view(notice.unread_retry_after)},
-              {"limit", view(notice.unread_limit)},
+              {"retry_after", view(notice.malformed_retry_after)},
+              {"limit", view(notice.malformed_limit)},
               {"unknown_header", view(notice.unknown_header)}});
 }
 
@@ -302,7 +303,7 @@
               {"reason", view(reason)},
               {"after_ms", toMilliseconds(now - state.attempt->sent)}});
   if (failure == AttemptFailure::NotSent && state.attempt->with_credit) {
-    replicas_.limits().giveBack(state.attempt->replica);
+    replicas_.limits().returnCredit(state.attempt->replica);
   }
   const ReplicaId replica_id = state.attempt->replica;
   const Replica* failed = replicas_.find(replica_id);
@@ -414,7 +415,7 @@
               {"retry_after_ms", retry_after ? toMilliseconds(*retry_after) : -1},
               {"took_ms", toMilliseconds(now - state.arrived)},
               {"attempts", static_cast<std::int64_t>(state.attempts)}});
-  giveBack(state, now);
+  returnCredit(state, now);
   effects_.emplace_back(RefuseCallEffect{call->first, code, !state.may_have_run, retry_after, detail});
   erase(call);
 }
--- a/src/calls/call_router_control.cc
+++ b/src/calls/call_router_control.cc
@@ -27,7 +27,7 @@
     feed_.accept(envelope.from, *list);
   } else if (const auto* late = std::get_if<wire::CatalogUpdate>(&envelope.message)) {
     feed_.recordAnswer(envelope.from);
-    applyCatalog(envelope.from, late->catalog, feed_.leaderHeard(), now);
+    applyCatalog(envelope.from, late->catalog, feed_.lastLeaderContact(), now);
   } else if (const auto* answer = std::get_if<wire::QuotaAnswer>(&envelope.message)) {
     feed_.recordAnswer(envelope.from);
     resolveQuotas(quota_.accept(*answer, now), now);
@@ -42,7 +42,7 @@
 }
 
 void CallRouter::applyCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
-                              std::optional<TimePoint> leader_heard, TimePoint now) {
+                              std::optional<TimePoint> last_leader_contact, TimePoint now) {
   if (catalog.version <= catalogVersion()) {
     return;
   }
@@ -53,12 +53,12 @@
              {{"version", static_cast<std::int64_t>(routes_->version().value)},
               {"routes", static_cast<std::int64_t>(catalog.routes.size())},
               {"from", view(from.value)},
-              {"confirmed_ms_ago", leader_heard ? toMilliseconds(now - *leader_heard) : -1}});
+              {"confirmed_ms_ago", last_leader_contact ? toMilliseconds(now - *last_leader_contact) : -1}});
 }
 
 void CallRouter::applyUpdate(const NodeName& from, const wire::ServiceUpdate& update, TimePoint now) {
   const NodeName leader = feed_.leader();
-  const std::optional<TimePoint> previous_contact = feed_.leaderHeard();
+  const std::optional<TimePoint> previous_contact = feed_.lastLeaderContact();
   const bool replicas_follow = feed_.accept(from, update, now);
   if (feed_.leader() != leader) {
     log_.write(LogLevel::Info, "control.leader",
@@ -66,7 +66,7 @@
                 {"revision", static_cast<std::int64_t>(update.revision.value)}});
   }
   quota_.onUpdate(from, update, now);
-  replicas_.limits().onLeader(update.grants_limits, update.routers, now);
+  replicas_.limits().onLeader(update.grants_limit_credit, update.routers, now);
   if (update.catalog) {
     applyCatalog(from, *update.catalog, previous_contact, now);
   }
@@ -127,10 +127,10 @@
   }
 }
 
-std::vector<wire::ModelWant> CallRouter::wants(TimePoint now) {
-  std::map<std::tuple<ServiceName, ModelName, std::string>, wire::ModelWant> merged;
-  const auto entry = [&merged](const auto& key) -> wire::ModelWant& {
-    wire::ModelWant& want = merged[key];
+std::vector<wire::ModelCallCounts> CallRouter::model_calls(TimePoint now) {
+  std::map<std::tuple<ServiceName, ModelName, std::string>, wire::ModelCallCounts> merged;
+  const auto entry = [&merged](const auto& key) -> wire::ModelCallCounts& {
+    wire::ModelCallCounts& want = merged[key];
     std::tie(want.service, want.model, want.adapter) = key;
     return want;
   };
@@ -141,7 +141,8 @@
     if (call.route == nullptr || call.need.model.empty()) {
       continue;
     }
-    wire::ModelWant& want = entry(std::make_tuple(call.need.service, call.need.model, call.need.adapter));
+    wire::ModelCallCounts& want =
+        entry(std::make_tuple(call.need.service, call.need.model, call.need.adapter));
     if (call.attempt) {
       ++want.running;
     } else if (!replicas_.anyHolds(call.need, now)) {
@@ -150,18 +151,18 @@
   }
   for (const auto& [key, callers] : loads_.returningCallers(now)) {
     const auto& [service, model] = key;
-    wire::ModelWant& want = entry(std::make_tuple(service, model, std::string()));
+    wire::ModelCallCounts& want = entry(std::make_tuple(service, model, std::string()));
     ReplicaNeed need;
     need.service = service;
     need.model = model;
     (replicas_.anyHolds(need, now) ? want.running : want.waiting) += callers;
   }
-  std::vector<wire::ModelWant> wants;
-  wants.reserve(merged.size());
+  std::vector<wire::ModelCallCounts> model_calls;
+  model_calls.reserve(merged.size());
   for (auto& [key, want] : merged) {
-    wants.push_back(std::move(want));
+    model_calls.push_back(std::move(want));
   }
-  return wants;
+  return model_calls;
 }
 
 void CallRouter::sendStatuses(TimePoint now) {
@@ -173,21 +174,16 @@
     effects_.emplace_back(RenewConnectionEffect{std::move(member)});
   }
   const NodeName leader = feed_.leader();
-  RouterState state{wants(now),
-                    replicas_.unreachable(now),
-                    ready(),
-                    catalogVersion(),
-                    crashes_.digest(),
-                    replicas_.takeLocalLoads(),
-                    replicas_.takeEventGaps(),
-                    interests_.list(now)};
+  RouterState state{model_calls(now),          replicas_.unreachable(now), ready(),
+                    catalogVersion(),          crashes_.digest(),          replicas_.takeLocalLoads(),
+                    replicas_.takeEventGaps(), interests_.list(now)};
   for (wire::SendEffect& send : feed_.statuses(std::move(state), now)) {
     effects_.emplace_back(std::move(send));
   }
   if (!leader.empty() && feed_.leader().empty()) {
     log_.write(LogLevel::Warning, "control.silent",
                {{"leader", view(leader.value)},
-                {"heard_ms_ago", toMilliseconds(now - *feed_.leaderHeard())},
+                {"heard_ms_ago", toMilliseconds(now - *feed_.lastLeaderContact())},
                 {"catalog", static_cast<std::int64_t>(catalogVersion().value)}});
   }
 }
--- a/src/calls/call_router_crashes.cc
+++ b/src/calls/call_router_crashes.cc
@@ -10,7 +10,7 @@
 namespace ferryrock::calls {
 namespace {
 
-using quarantine::Standing;
+using quarantine::QuarantineState;
 
 /// Time from a call's second crash until all routers know of it and of the other suspected calls. Propagation
 /// from router to member to router takes 2 to 6 ms on the network, and as much again in processes that get a
@@ -41,7 +41,7 @@
   }
   const std::vector<ProbedCall> calls = std::move(probed->second);
   pending_probes_.erase(probed);
-  if (outcome == ProbeOutcome::Ended) {
+  if (outcome == ProbeOutcome::Terminated) {
     recordReplicaCrash(replica, calls, now);
   }
   for (const ProbedCall& probed_call : calls) {
@@ -57,14 +57,14 @@
 
 void CallRouter::recordReplicaCrash(const ReplicaId& replica, const std::vector<ProbedCall>& calls,
                                     TimePoint now) {
-  ++counts_.replica_ends;
+  ++counts_.replica_crashes;
   std::vector<wire::CrashRecord> new_records;
   for (const auto& [number, fingerprint] : calls) {
     const CallPointer call = calls_.find(number);
     if (call != calls_.end()) {
       ++call->second.crashed_attempts;
     }
-    if (!crashes_.noteEnd(fingerprint, replica, now)) {
+    if (!crashes_.recordCrash(fingerprint, replica, now)) {
       continue;
     }
     new_records.push_back(crashes_.record(fingerprint, now));
@@ -82,7 +82,7 @@
 
 void CallRouter::recordCompletedRun(const Call& call, TimePoint now) {
   const wire::CallFingerprint& fingerprint = call.request.fingerprint;
-  if (!crashes_.noteAnswer(fingerprint)) {
+  if (!crashes_.recordAnswer(fingerprint)) {
     return;
   }
   log_.write(LogLevel::Info, "crash.refuted",
@@ -93,14 +93,14 @@
 
 void CallRouter::applyCrashRecords(const NodeName& from, const wire::CrashRecords& records, TimePoint now) {
   for (const wire::CrashRecord& record : records.records) {
-    const Standing before = crashes_.standing(record.call);
+    const QuarantineState before = crashes_.quarantineState(record.call);
     if (!crashes_.merge(record, now)) {
       continue;
     }
-    const Standing after = crashes_.standing(record.call);
+    const QuarantineState after = crashes_.quarantineState(record.call);
     if (after != before) {
       log_.write(LogLevel::Warning,
-                 after == Standing::Quarantined ? "crash.quarantined" : "crash.suspicion_changed",
+                 after == QuarantineState::Quarantined ? "crash.quarantined" : "crash.suspicion_changed",
                  {{"fingerprint", quarantine::toText(record.call)},
                   {"ends", static_cast<std::int64_t>(crashes_.ends(record.call))},
                   {"last_end_ms_ago", record.age_ms},
@@ -116,11 +116,11 @@
 bool CallRouter::waitForTrial(CallPointer call, TimePoint now) {
   Call& state = call->second;
   const wire::CallFingerprint& fingerprint = state.request.fingerprint;
-  if (!crashes_.onTrial().contains(fingerprint)) {
+  if (!crashes_.callsOnTrial().contains(fingerprint)) {
     state.need.trial.reset();
     return false;
   }
-  state.need.trial = quarantine::Trial{fingerprint, crashes_.onTrial()};
+  state.need.trial = quarantine::Trial{fingerprint, crashes_.callsOnTrial()};
   const TimePoint from = now - crashes_.age(fingerprint, now) + kTrialPropagationTime;
   if (now >= from || replicas_.routers() <= 1) {
     return false;
@@ -140,7 +140,7 @@
 /// A stream that has delivered events continues: a call that crashes its replica does so before the first
 /// event, and the caller already has part of the response.
 void CallRouter::enforceQuarantine(const wire::CallFingerprint& fingerprint, TimePoint now) {
-  if (crashes_.standing(fingerprint) != Standing::Quarantined) {
+  if (crashes_.quarantineState(fingerprint) != QuarantineState::Quarantined) {
     return;
   }
   std::vector<CallNumber> concerned;
--- a/src/calls/call_router_limits.cc
+++ b/src/calls/call_router_limits.cc
@@ -37,7 +37,7 @@
   Call& state = call->second;
   // The replica that the credit is for can't be used now for another reason.
   if (state.need.credit) {
-    replicas_.limits().giveBack(*state.need.credit);
+    replicas_.limits().returnCredit(*state.need.credit);
     state.credit.granted.reset();
     state.need.credit.reset();
   }
@@ -79,13 +79,13 @@
     credit_requests_.erase(*call.credit.pending_request);
   }
   if (call.credit.granted) {
-    replicas_.limits().giveBack(call.credit.granted->replica);
+    replicas_.limits().returnCredit(call.credit.granted->replica);
   }
   call.credit = {};
 }
 
-void CallRouter::resolveCredits(const std::vector<LimitResolved>& resolved, TimePoint now) {
-  for (const LimitResolved& one : resolved) {
+void CallRouter::resolveCredits(const std::vector<LimitRequestOutcome>& resolved, TimePoint now) {
+  for (const LimitRequestOutcome& one : resolved) {
     const auto requester = credit_requests_.find(one.request_number);
     if (requester == credit_requests_.end()) {
       continue;
@@ -98,22 +98,22 @@
   }
 }
 
-void CallRouter::resolveCredit(CallPointer call, const LimitResolved& resolved, TimePoint now) {
+void CallRouter::resolveCredit(CallPointer call, const LimitRequestOutcome& resolved, TimePoint now) {
   CreditSearch& credit = call->second.credit;
   credit.pending_request.reset();
-  if (resolved.verdict == LimitResolved::Verdict::Granted) {
+  if (resolved.verdict == LimitRequestOutcome::Verdict::Granted) {
     credit.granted = LimitCredit{credit.requested_from, resolved.at};
     call->second.wait_deadline =
         std::max(call->second.wait_deadline, resolved.at + ReplicaLimits::kCreditTtl);
-  } else if (resolved.verdict == LimitResolved::Verdict::Refused) {
+  } else if (resolved.verdict == LimitRequestOutcome::Verdict::Refused) {
     credit.refused.insert(credit.requested_from);
     credit.opens_at = std::min(credit.opens_at.value_or(resolved.at), resolved.at);
   }
   log_.write(LogLevel::Info, "call.credit",
              {{"request", view(call->second.request.id.value)},
               {"replica", view(credit.requested_from.value)},
-              {"granted", resolved.verdict == LimitResolved::Verdict::Granted},
-              {"answered", resolved.verdict != LimitResolved::Verdict::Unanswered},
+              {"granted", resolved.verdict == LimitRequestOutcome::Verdict::Granted},
+              {"answered", resolved.verdict != LimitRequestOutcome::Verdict::Unanswered},
               {"in_ms", toMilliseconds(resolved.at - now)},
               {"after_ms", toMilliseconds(now - call->second.arrived)}});
   if (!call->second.attempt) {
--- a/src/calls/call_router_tenants.cc
+++ b/src/calls/call_router_tenants.cc
@@ -20,8 +20,8 @@
                                 TimePoint now) {
   Call& state = call->second;
   const Credential& credential = state.request.credential;
-  const bool needs_none = route.open_to_all && credential.form == Credential::Form::None;
-  if (!routes_->keys().inUse() || needs_none) {
+  const bool needs_none = route.allows_anonymous && credential.form == Credential::Form::None;
+  if (!routes_->keys().requiresKeys() || needs_none) {
     return true;
   }
   // A catalog that may be outdated can neither accept nor reject a key: a newer one may have removed or added
@@ -65,7 +65,7 @@
     return true;
   }
   const wire::Tenant* holder = routes_->keys().find(state.request.credential.key);
-  if (routes_->keys().inUse() && (holder == nullptr || holder->name != state.tenant)) {
+  if (routes_->keys().requiresKeys() && (holder == nullptr || holder->name != state.tenant)) {
     ++counts_.unknown_keys;
     refuse(call, ResultCode::UnknownKey, "the key was removed from the catalog", std::nullopt, now);
     return false;
@@ -81,7 +81,7 @@
   }
   const CallRequest& request = state.request;
   const std::optional<std::uint64_t> tokens =
-      request.tells_tokens ? std::optional(request.prompt_tokens + request.answer_tokens) : std::nullopt;
+      request.has_token_counts ? std::optional(request.prompt_tokens + request.answer_tokens) : std::nullopt;
   state.charged = tenancy::QuotaClient::costOf(*tenant.quota, tokens);
   const tenancy::QuotaReply reply = quota_.request(call->first.value, tenant, state.charged, now);
   if (reply.verdict == QuotaVerdict::Granted) {
@@ -89,8 +89,8 @@
     return true;
   }
   awaiting_credit_.insert(call->first);
-  if (reply.verdict == QuotaVerdict::Asked) {
-    ++counts_.quota_asked;
+  if (reply.verdict == QuotaVerdict::Pending) {
+    ++counts_.quota_waits;
     setTimer(call);
   } else {
     onQuotaReply(call, reply, now);
@@ -107,18 +107,18 @@
     return;
   }
   state.charged = 0;
-  if (reply.verdict == QuotaVerdict::Spent) {
+  if (reply.verdict == QuotaVerdict::Exhausted) {
     ++counts_.quota_spent;
-    refuse(call, ResultCode::QuotaSpent, "", reply.retry_after, now);
+    refuse(call, ResultCode::QuotaUsageTotal, "", reply.retry_after, now);
   } else {
-    ++counts_.quota_unknown;
+    ++counts_.quota_undecided;
     refuse(call, ResultCode::ControlUnavailable, "no leader is available to decide on the tenant's quota",
            reply.retry_after, now);
   }
 }
 
-void CallRouter::resolveQuotas(const std::vector<tenancy::QuotaResolved>& resolved, TimePoint now) {
-  for (const tenancy::QuotaResolved& one : resolved) {
+void CallRouter::resolveQuotas(const std::vector<tenancy::QuotaRequestOutcome>& resolved, TimePoint now) {
+  for (const tenancy::QuotaRequestOutcome& one : resolved) {
     const CallPointer call = calls_.find(CallNumber{one.number});
     if (call != calls_.end()) {
       onQuotaReply(call, one.reply, now);
@@ -134,11 +134,11 @@
 /// The leader isn't asked for this credit: the call was granted its run already, and its caller is waiting.
 void CallRouter::chargeRetry(Call& call, TimePoint now) {
   if (call.charged > 0 && std::exchange(call.charged_attempt_may_have_run, false)) {
-    quota_.chargeAgain(*call.tenant, call.charged, now);
+    quota_.chargeRerun(*call.tenant, call.charged, now);
   }
 }
 
-void CallRouter::giveBack(Call& call, TimePoint now) {
+void CallRouter::returnCredit(Call& call, TimePoint now) {
   const std::int64_t charged = std::exchange(call.charged, 0);
   if (charged == 0 || call.may_have_run || call.attempt || call.started) {
     return;
@@ -146,7 +146,7 @@
   if (awaiting_credit_.contains(call.request.number)) {
     quota_.abandon(call.request.number.value);
   } else {
-    quota_.giveBack(*call.tenant, charged, call.account, now);
+    quota_.returnCredit(*call.tenant, charged, call.account, now);
   }
 }
 
--- a/src/calls/control_feed.cc
+++ b/src/calls/control_feed.cc
@@ -30,7 +30,7 @@
   }
   leader_ = from;
   suggested_leader_ = from;
-  leader_heard_ = now;
+  last_leader_contact_ = now;
   member_answered_ = true;
   leader_requested_interval_ = std::chrono::milliseconds(update.status_interval_ms);
   addMembers(update.members);
@@ -176,7 +176,7 @@
 }
 
 std::vector<wire::SendEffect> ControlFeed::statuses(RouterState state, TimePoint now) {
-  const bool leader_timed_out = !leader_heard_ || now - *leader_heard_ > leaderTimeout();
+  const bool leader_timed_out = !last_leader_contact_ || now - *last_leader_contact_ > leaderTimeout();
   if (leader_timed_out && !leader_.empty()) {
     leader_ = NodeName{};
     suggested_leader_ = NodeName{};
@@ -196,13 +196,13 @@
   status.subscribes = true;
   status.table = table_;
   status.directory = wire::directoryDigest(directory_);
-  status.wants_proof = proof_.isNeeded() && !proof_.holds(now + kProofRenewalMargin);
+  status.needs_catalog_proof = proof_.isNeeded() && !proof_.holds(now + kProofRenewalMargin);
   proof_.onStatusSent(sequence_, now);
   wire::CallRouterStatus leader_status = status;
-  leader_status.wants = std::move(state.wants);
+  leader_status.model_calls = std::move(state.model_calls);
   leader_status.unreachable = std::move(state.unreachable);
-  leader_status.uses = std::move(state.uses);
-  leader_status.paces = std::move(state.paces);
+  leader_status.local_loads = std::move(state.local_loads);
+  leader_status.event_gaps = std::move(state.event_gaps);
   if (holdsSubscribedTable()) {
     leader_status.interests = std::move(state.interests);
   }
--- a/src/calls/control_feed.h
+++ b/src/calls/control_feed.h
@@ -35,14 +35,14 @@
 
 /// Contents of a status that the feed doesn't hold itself.
 struct RouterState {
-  std::vector<wire::ModelWant> wants;          ///< sent to the leader only
-  std::vector<ReplicaId> unreachable;          ///< sent to the leader only
-  bool accepting = false;                      ///< callers may be directed to this router
-  CatalogVersion catalog;                      ///< current catalog
-  std::uint64_t crash_digest = 0;              ///< of the crash records that the router shares
-  std::vector<wire::ReplicaUse> uses;          ///< sent to the leader only
-  std::vector<wire::ObservedPace> paces;       ///< sent to the leader only
-  std::vector<wire::ModelInterest> interests;  ///< sent to the leader only
+  std::vector<wire::ModelCallCounts> model_calls;   ///< sent to the leader only
+  std::vector<ReplicaId> unreachable;               ///< sent to the leader only
+  bool accepting = false;                           ///< callers may be directed to this router
+  CatalogVersion catalog;                           ///< current catalog
+  std::uint64_t crash_digest = 0;                   ///< of the crash records that the router shares
+  std::vector<wire::LocalReplicaLoad> local_loads;  ///< sent to the leader only
+  std::vector<wire::ObservedEventGap> event_gaps;   ///< sent to the leader only
+  std::vector<wire::ModelInterest> interests;       ///< sent to the leader only
 };
 
 /// A router's communication with the control members: reports its status, finds the leader, and accepts only
@@ -87,7 +87,7 @@
   const std::vector<std::string>& directory() const { return directory_; }
   const NodeName& leader() const { return leader_; }
   /// Time of the last update from a leader; nullopt: never.
-  std::optional<TimePoint> leaderHeard() const { return leader_heard_; }
+  std::optional<TimePoint> lastLeaderContact() const { return last_leader_contact_; }
   const std::set<NodeName>& members() const { return members_; }
   /// True if the table lists only the replicas that this router subscribes to.
   bool holdsSubscribedTable() const { return table_ != 0; }
@@ -109,7 +109,7 @@
   ControlFeedSettings settings_;
   std::set<NodeName> members_;
   NodeName leader_;
-  std::optional<TimePoint> leader_heard_;
+  std::optional<TimePoint> last_leader_contact_;
   LogIndex revision_;
   std::uint64_t table_ = 0;  ///< wire::ServiceUpdate::table of the current table; 0: it lists all replicas
   std::vector<std::string> directory_;
--- a/src/calls/expected_loads.cc
+++ b/src/calls/expected_loads.cc
@@ -8,9 +8,9 @@
 
 }  // namespace
 
-void ExpectedLoads::accept(const std::vector<wire::ComingModel>& coming, TimePoint now) {
+void ExpectedLoads::accept(const std::vector<wire::ExpectedModelLoad>& coming, TimePoint now) {
   std::erase_if(ready_, [now](const auto& item) { return item.second <= now; });
-  for (const wire::ComingModel& model : coming) {
+  for (const wire::ExpectedModelLoad& model : coming) {
     ready_[{model.service, model.model}] = now + std::chrono::milliseconds(model.ready_in_ms);
   }
 }
--- a/src/calls/expected_loads.h
+++ b/src/calls/expected_loads.h
@@ -19,7 +19,7 @@
  public:
   using Key = std::pair<ServiceName, ModelName>;
 
-  void accept(const std::vector<wire::ComingModel>& coming, TimePoint now);
+  void accept(const std::vector<wire::ExpectedModelLoad>& coming, TimePoint now);
   /// Time at which the model is expected to be loaded; nullopt: unknown or past.
   std::optional<TimePoint> readyAt(const ServiceName& service, const ModelName& model, TimePoint now) const;
 
--- a/src/calls/replica_limits.cc
+++ b/src/calls/replica_limits.cc
@@ -12,7 +12,7 @@
 /// planned fleet.
 constexpr std::size_t kMaxRetainedLimits = 4'000;
 /// A leader sends an update to each router every 250 ms; after this time without contact it may be gone.
-constexpr Duration kLeaderSilence = 700ms;
+constexpr Duration kLeaderTimeout = 700ms;
 /// A reply takes about 5 ms. A leader that is busy or gone isn't waited for any longer than this.
 constexpr Duration kReplyTimeout = 250ms;
 /// Requests are kept for this long, so that a late grant can be returned. A grant that arrives later still is
@@ -111,22 +111,23 @@
 }
 
 bool ReplicaLimits::leaderTimedOut(TimePoint now) const {
-  return !leader_grants_ || !leader_heard_ || now - *leader_heard_ > kLeaderSilence;
+  return !leader_grants_ || !last_leader_contact_ || now - *last_leader_contact_ > kLeaderTimeout;
 }
 
 TimePoint ReplicaLimits::leaderlessSince() const {
-  return leader_heard_ ? *leader_heard_ + (leader_grants_ ? kLeaderSilence : Duration::zero()) : TimePoint{};
+  return last_leader_contact_ ? *last_leader_contact_ + (leader_grants_ ? kLeaderTimeout : Duration::zero())
+                              : TimePoint{};
 }
 
 void ReplicaLimits::onLeader(bool grants, std::uint32_t routers, TimePoint now) {
-  leader_heard_ = now;
+  last_leader_contact_ = now;
   leader_grants_ = grants;
   routers_ = std::max(1U, routers);
 }
 
 /// Scales with the number of routers, so that the total rate of requests doesn't depend on it.
 Duration ReplicaLimits::spareInterval(const Limit& limit) const {
-  const double requests_per_second = kSpareShare * std::max(limit.per_second, wire::kLeastLimitRate);
+  const double requests_per_second = kSpareShare * std::max(limit.per_second, wire::kMinLimitRate);
   const std::chrono::duration<double> interval(routers_ / requests_per_second);
   return std::max(kMinSpareInterval, std::chrono::duration_cast<Duration>(interval));
 }
@@ -177,7 +178,7 @@
     found->second.spare_from.reset();
     return;
   }
-  ++counts_.alone;
+  ++counts_.sent_locally;
   found->second.local_allowance -= 1;
 }
 
@@ -212,15 +213,15 @@
   }
 }
 
-void ReplicaLimits::giveBack(const ReplicaId& replica) {
+void ReplicaLimits::returnCredit(const ReplicaId& replica) {
   if (limits_.contains(replica) && returned_.size() < kMaxReturned) {
     ++counts_.returned;
     returned_.push_back(replica);
   }
 }
 
-std::vector<LimitResolved> ReplicaLimits::accept(const wire::LimitReply& reply, TimePoint now) {
-  std::vector<LimitResolved> resolved;
+std::vector<LimitRequestOutcome> ReplicaLimits::accept(const wire::LimitReply& reply, TimePoint now) {
+  std::vector<LimitRequestOutcome> resolved;
   if (reply.incarnation != settings_.incarnation) {
     return resolved;
   }
@@ -238,8 +239,9 @@
   return resolved;
 }
 
-std::optional<LimitResolved> ReplicaLimits::resolve(std::uint64_t number, const CreditRequest& pending,
-                                                    const wire::LimitDecision& decision, TimePoint now) {
+std::optional<LimitRequestOutcome> ReplicaLimits::resolve(std::uint64_t number, const CreditRequest& pending,
+                                                          const wire::LimitDecision& decision,
+                                                          TimePoint now) {
   const TimePoint at = now + std::chrono::milliseconds(std::max<std::int64_t>(0, decision.wait_ms));
   const auto limit = limits_.find(pending.replica);
   const bool stated_since = limit != limits_.end() && limit->second.any_stated_at > pending.since;
@@ -249,7 +251,7 @@
   const bool credit = decision.granted && !decision.unlimited;
   if (pending.abandoned) {
     if (credit) {
-      giveBack(pending.replica);
+      returnCredit(pending.replica);
     }
     return std::nullopt;
   }
@@ -260,18 +262,19 @@
     return std::nullopt;
   }
   ++(decision.granted ? counts_.granted : counts_.refused);
-  return LimitResolved{
-      number, decision.granted ? LimitResolved::Verdict::Granted : LimitResolved::Verdict::Refused, at};
+  return LimitRequestOutcome{
+      number,
+      decision.granted ? LimitRequestOutcome::Verdict::Granted : LimitRequestOutcome::Verdict::Refused, at};
 }
 
-std::vector<LimitResolved> ReplicaLimits::tick(TimePoint now) {
-  std::vector<LimitResolved> resolved;
+std::vector<LimitRequestOutcome> ReplicaLimits::tick(TimePoint now) {
+  std::vector<LimitRequestOutcome> resolved;
   for (auto& [number, pending] : requests_) {
     if (!pending.abandoned && now - pending.since >= kReplyTimeout) {
       pending.abandoned = true;
       if (!pending.spare) {
         ++counts_.unanswered;
-        resolved.push_back({number, LimitResolved::Verdict::Unanswered, now});
+        resolved.push_back({number, LimitRequestOutcome::Verdict::Unanswered, now});
       }
     }
   }
--- a/src/calls/replica_limits.h
+++ b/src/calls/replica_limits.h
@@ -18,7 +18,7 @@
 };
 
 /// Outcome of a credit request.
-struct LimitResolved {
+struct LimitRequestOutcome {
   enum class Verdict : std::uint8_t {
     Granted,     ///< the call may be sent to the replica from `at` on
     Refused,     ///< no credit is available before `at`
@@ -36,8 +36,8 @@
   std::uint64_t refused = 0;
   std::uint64_t unanswered = 0;
   std::uint64_t returned = 0;
-  std::uint64_t sent = 0;   ///< calls sent to replicas with a rate limit
-  std::uint64_t alone = 0;  ///< part of `sent` on the local allowance, without a leader
+  std::uint64_t sent = 0;          ///< calls sent to replicas with a rate limit
+  std::uint64_t sent_locally = 0;  ///< part of `sent` on the local allowance, without a leader
 };
 
 /// One router's part in enforcing the rate limits that replicas set for all routers together; the leader's
@@ -94,10 +94,10 @@
   /// Abandons the request of a call that has ended. A credit that is still granted to it is returned.
   void abandon(std::uint64_t request_number);
   /// Returns a credit that wasn't used, or whose call certainly wasn't sent.
-  void giveBack(const ReplicaId& replica);
-  std::vector<LimitResolved> accept(const wire::LimitReply& reply, TimePoint now);
+  void returnCredit(const ReplicaId& replica);
+  std::vector<LimitRequestOutcome> accept(const wire::LimitReply& reply, TimePoint now);
   /// Returns the outcomes of requests that no leader answered in time.
-  std::vector<LimitResolved> tick(TimePoint now);
+  std::vector<LimitRequestOutcome> tick(TimePoint now);
   /// Returns the message for the leader, if there is anything to send.
   std::optional<wire::LimitRequest> message(TimePoint now);
   TimePoint nextDeadline() const;
@@ -134,14 +134,14 @@
   Duration spareInterval(const Limit& limit) const;
   void accrueLocalAllowance(Limit& limit, TimePoint now);
   bool hasSpare(const Limit& limit, TimePoint now) const;
-  std::optional<LimitResolved> resolve(std::uint64_t number, const CreditRequest& pending,
-                                       const wire::LimitDecision& decision, TimePoint now);
+  std::optional<LimitRequestOutcome> resolve(std::uint64_t number, const CreditRequest& pending,
+                                             const wire::LimitDecision& decision, TimePoint now);
   void enforceBounds();
 
   ReplicaLimitsSettings settings_;
   Random random_;
   std::map<ReplicaId, Limit> limits_;
-  std::optional<TimePoint> leader_heard_;
+  std::optional<TimePoint> last_leader_contact_;
   bool leader_grants_ = false;
   std::uint32_t routers_ = 1;
   std::map<std::uint64_t, CreditRequest> requests_;
--- a/src/calls/replica_table.cc
+++ b/src/calls/replica_table.cc
@@ -7,9 +7,9 @@
 #include <utility>
 
 #include "balance/load_key.h"
-#include "balance/uneven.h"
+#include "balance/slow_replica.h"
 #include "common/hashing.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::calls {
 namespace {
@@ -52,7 +52,7 @@
   if (model.empty()) {
     return true;
   }
-  return std::any_of(routed.held.begin(), routed.held.end(), [&](const wire::HeldModel& held) {
+  return std::any_of(routed.held.begin(), routed.held.end(), [&](const wire::LoadedModel& held) {
     const bool adapter_there = adapter.empty() || std::find(held.adapters.begin(), held.adapters.end(),
                                                             adapter) != held.adapters.end();
     return held.model == model && adapter_there;
@@ -61,7 +61,7 @@
 
 /// The estimate drops to the shortest gap at once and rises slowly, since disturbances only lengthen a gap.
 void Replica::recordGap(const ModelName& model, Duration gap) {
-  Duration& estimate = paces[model];
+  Duration& estimate = event_gaps[model];
   estimate =
       estimate == Duration::zero() || gap < estimate ? gap : estimate + (gap - estimate) / kGapRiseDivisor;
 }
@@ -72,8 +72,8 @@
 }
 
 Duration Replica::gapOf(const ModelName& model) const {
-  const auto found = paces.find(model);
-  return found == paces.end() ? Duration::zero() : found->second;
+  const auto found = event_gaps.find(model);
+  return found == event_gaps.end() ? Duration::zero() : found->second;
 }
 
 TimePoint Replica::missingUntil(const ModelName& model, const std::string& adapter) const {
@@ -134,13 +134,13 @@
 
 /// A new leader may list the current incarnation long before it knows that the previous one has ended.
 bool ReplicaTable::followIncarnation(const ReplicaId& id) {
-  const std::uint64_t born = wire::replicaBorn(id);
+  const std::uint64_t born = wire::replicaStartMs(id);
   if (born == 0) {
     return true;
   }
   const std::string name = wire::replicaName(id);
   const auto known = incarnations_.find(name);
-  if (known != incarnations_.end() && wire::replicaBorn(known->second) > born) {
+  if (known != incarnations_.end() && wire::replicaStartMs(known->second) > born) {
     return false;
   }
   if (known != incarnations_.end() && known->second != id) {
@@ -306,10 +306,10 @@
 Replica* ReplicaTable::leastLoaded(Options options, const ReplicaNeed& need) const {
   std::uint64_t least_unread = std::numeric_limits<std::uint64_t>::max();
   for (const Replica* option : options) {
-    least_unread = std::min(least_unread, option->unread_tokens);
+    least_unread = std::min(least_unread, option->pending_prefill_tokens);
   }
   keepIf(options, [&](const Replica& option) {
-    return option.unread_tokens <= least_unread + kNegligiblePrefillTokens;
+    return option.pending_prefill_tokens <= least_unread + kNegligiblePrefillTokens;
   });
   keepSmallGaps(options, need.model);
   const auto local = std::count_if(options.begin(), options.end(),
@@ -338,12 +338,12 @@
 
 bool ReplicaTable::isUneven(const Options& options) const {
   return options.size() > 1 && std::any_of(options.begin(), options.end(), [this](const Replica* option) {
-           return board_.slowness(option->load_key) >= balance::kUnevenSlowness;
+           return board_.slowness(option->load_key) >= balance::kSlowReplicaThreshold;
          });
 }
 
-balance::FleetUse ReplicaTable::fleetLoad(const Replica& replica) const {
-  return board_.estimateLoad(replica.load_key, {replica.outstanding, replica.unread_tokens});
+balance::FleetLoad ReplicaTable::fleetLoad(const Replica& replica) const {
+  return board_.estimateLoad(replica.load_key, {replica.outstanding, replica.pending_prefill_tokens});
 }
 
 Replica* ReplicaTable::cheapest(const Options& options, const ReplicaNeed& need) const {
@@ -371,29 +371,30 @@
   return best;
 }
 
-std::vector<wire::ReplicaUse> ReplicaTable::takeLocalLoads() {
-  std::vector<wire::ReplicaUse> uses;
+std::vector<wire::LocalReplicaLoad> ReplicaTable::takeLocalLoads() {
+  std::vector<wire::LocalReplicaLoad> local_loads;
   for (auto& [id, replica] : replicas_) {
     const std::uint64_t sent = std::exchange(replica.sent_tokens, 0);
     if (replica.outstanding > 0 || sent > 0) {
-      uses.push_back({replica.load_key, replica.outstanding,
-                      static_cast<std::uint32_t>(replica.unread_tokens), static_cast<std::uint32_t>(sent)});
+      local_loads.push_back({replica.load_key, replica.outstanding,
+                             static_cast<std::uint32_t>(replica.pending_prefill_tokens),
+                             static_cast<std::uint32_t>(sent)});
     }
   }
-  board_.onReported(uses);
-  return uses;
+  board_.onReported(local_loads);
+  return local_loads;
 }
 
-std::vector<wire::ObservedPace> ReplicaTable::takeEventGaps() {
-  std::vector<wire::ObservedPace> paces;
+std::vector<wire::ObservedEventGap> ReplicaTable::takeEventGaps() {
+  std::vector<wire::ObservedEventGap> event_gaps;
   for (auto& [id, replica] : replicas_) {
     for (const auto& [model, gap] : std::exchange(replica.unreported_gaps, {})) {
       const auto microseconds = std::chrono::duration_cast<std::chrono::microseconds>(gap).count();
-      paces.push_back(
+      event_gaps.push_back(
           {replica.load_key, balance::loadKey(model.value), static_cast<std::uint32_t>(microseconds)});
     }
   }
-  return paces;
+  return event_gaps;
 }
 
 std::optional<ReplicaNotices::Reopening> ReplicaTable::onSent(Replica& replica, TimePoint now) {
--- a/src/calls/replica_table.h
+++ b/src/calls/replica_table.h
@@ -30,14 +30,14 @@
 struct Replica {
   wire::RoutedReplica routed;
   router::ReplicaHealth health;
-  std::uint32_t outstanding = 0;    ///< attempts of this router in flight
-  std::uint64_t unread_tokens = 0;  ///< prompt tokens of attempts without any progress yet
-  std::uint64_t sent_tokens = 0;    ///< prompt tokens sent since the last report to the leader
-  TimePoint refused_until{};        ///< end of the pause after the replica refused a call as full or draining
+  std::uint32_t outstanding = 0;             ///< attempts of this router in flight
+  std::uint64_t pending_prefill_tokens = 0;  ///< prompt tokens of attempts without any progress yet
+  std::uint64_t sent_tokens = 0;             ///< prompt tokens sent since the last report to the leader
+  TimePoint refused_until{};  ///< end of the pause after the replica refused a call as full or draining
   /// Models and adapters that the replica reported as missing although the table lists them.
   std::map<std::pair<ModelName, std::string>, MissingModel> missing;
   /// Estimated undisturbed gap between two events of a stream, by model.
-  std::map<ModelName, Duration> paces;
+  std::map<ModelName, Duration> event_gaps;
   /// Shortest mean gap within a stream since the last report to the leader, by model.
   std::map<ModelName, Duration> unreported_gaps;
   std::uint32_t load_key = 0;  ///< balance::loadKey() of its ID
@@ -91,10 +91,10 @@
 struct Choice {
   Replica* replica = nullptr;
   ChoiceFailure failure = ChoiceFailure::None;
-  std::optional<balance::FleetUse> use;  ///< load of the replica, if the choice was based on it
-  std::optional<TimePoint> recheck_at;   ///< earliest time at which an excluded replica may be tried
-  std::optional<TimePoint> opens_at;     ///< earliest end of a backoff among the excluded replicas
-  std::vector<ReplicaId> limited;        ///< replicas excluded only because the call has no credit
+  std::optional<balance::FleetLoad> use;  ///< load of the replica, if the choice was based on it
+  std::optional<TimePoint> recheck_at;    ///< earliest time at which an excluded replica may be tried
+  std::optional<TimePoint> opens_at;      ///< earliest end of a backoff among the excluded replicas
+  std::vector<ReplicaId> limited;         ///< replicas excluded only because the call has no credit
 };
 
 /// The replicas that the leader lists, and those that still have attempts in flight. Not thread-safe; used by
@@ -137,10 +137,10 @@
 
   /// Applies the aggregated loads that the leader publishes.
   void acceptLoads(const std::vector<wire::ReplicaLoad>& loads, TimePoint now) { board_.accept(loads, now); }
-  const balance::LoadBoard& loadBoard() const { return board_; }
+  const balance::FleetLoadView& loadBoard() const { return board_; }
   /// Return the loads and event gaps since the last call, for the status to the leader.
-  std::vector<wire::ReplicaUse> takeLocalLoads();
-  std::vector<wire::ObservedPace> takeEventGaps();
+  std::vector<wire::LocalReplicaLoad> takeLocalLoads();
+  std::vector<wire::ObservedEventGap> takeEventGaps();
 
   /// Records an attempt; see ReplicaNotices::onSent().
   std::optional<ReplicaNotices::Reopening> onSent(Replica& replica, TimePoint now);
@@ -164,7 +164,7 @@
   bool isUneven(const Options& options) const;
   /// Returns the replica with the lowest balance::callCost(), based on the load of all routers.
   Replica* cheapest(const Options& options, const ReplicaNeed& need) const;
-  balance::FleetUse fleetLoad(const Replica& replica) const;
+  balance::FleetLoad fleetLoad(const Replica& replica) const;
   void unlist(const ReplicaId& id);
   /// Unlists the previous incarnation of the replica. Returns false if a later one is listed.
   bool followIncarnation(const ReplicaId& id);
@@ -177,7 +177,7 @@
   std::uint64_t local_home_salt_;  ///< salt of the affinity homes, used where routers don't share homes
   std::uint32_t routers_ = 1;
   bool subscribed_ = false;
-  balance::LoadBoard board_;
+  balance::FleetLoadView board_;
   ReplicaNotices notices_;
   ReplicaLimits limits_;
   std::uint64_t turn_;
--- a/src/consensus/quorum_log.h
+++ b/src/consensus/quorum_log.h
@@ -97,7 +97,7 @@
 };
 
 /// Requests that the state machine be serialized and passed to QuorumLog::compact().
-struct SnapshotWantedEffect {
+struct SnapshotRequestEffect {
   LogIndex applied;
 };
 
@@ -117,8 +117,8 @@
   bool confirmed = false;  ///< false: this member does not lead; retry on the leader
 };
 
-using Effect = std::variant<wire::SendEffect, PersistEffect, ApplyEffect, RestoreEffect, SnapshotWantedEffect,
-                            RoleEffect, ReadReadyEffect>;
+using Effect = std::variant<wire::SendEffect, PersistEffect, ApplyEffect, RestoreEffect,
+                            SnapshotRequestEffect, RoleEffect, ReadReadyEffect>;
 using Effects = std::vector<Effect>;
 
 struct Proposal {
@@ -168,7 +168,7 @@
   /// Latest time at which a majority of the voters is known to have followed this leader, so that no other
   /// leader had been elected by then; nullopt if this member does not lead or has not committed an entry of
   /// its own term.
-  virtual std::optional<TimePoint> followedAt(TimePoint now) const = 0;
+  virtual std::optional<TimePoint> leadershipConfirmedAt(TimePoint now) const = 0;
   virtual const wire::Membership& membership() const = 0;
 };
 
--- a/src/consensus/quorum_log_election.cc
+++ b/src/consensus/quorum_log_election.cc
@@ -116,7 +116,7 @@
   return request.last_index >= log_.lastIndex();
 }
 
-bool QuorumLogImpl::hearsLeader() const {
+bool QuorumLogImpl::hasLeaderContact() const {
   if (settings_.defects.vote_despite_leader) {
     return false;
   }
@@ -132,7 +132,7 @@
     answerPreVote(from, request);
     return;
   }
-  const bool disturbs_leader = !request.leadership_transfer && hearsLeader();
+  const bool disturbs_leader = !request.leadership_transfer && hasLeaderContact();
   if (request.term >= hard_state_.term && disturbs_leader) {
     return;
   }
@@ -155,7 +155,7 @@
 
 void QuorumLogImpl::answerPreVote(const NodeName& from, const wire::VoteRequest& request) {
   wire::VoteResponse response{hard_state_.term, settings_.id, false, true, hard_state_.disk};
-  response.granted = request.term > hard_state_.term && !hearsLeader() && logIsUpToDate(request);
+  response.granted = request.term > hard_state_.term && !hasLeaderContact() && logIsUpToDate(request);
   if (response.granted) {
     response.term = request.term;
   }
--- a/src/consensus/quorum_log_impl.cc
+++ b/src/consensus/quorum_log_impl.cc
@@ -253,7 +253,7 @@
 void QuorumLogImpl::requestSnapshot() {
   if (committed_.value - requested_snapshot_index_.value >= settings_.snapshot_after_entries) {
     requested_snapshot_index_ = committed_;
-    effects_.emplace_back(SnapshotWantedEffect{committed_});
+    effects_.emplace_back(SnapshotRequestEffect{committed_});
   }
 }
 
--- a/src/consensus/quorum_log_impl.h
+++ b/src/consensus/quorum_log_impl.h
@@ -51,7 +51,7 @@
   LogIndex committed() const override { return committed_; }
   LogIndex lastIndex() const override { return log_.lastIndex(); }
   bool hasLease(TimePoint now) const override;
-  std::optional<TimePoint> followedAt(TimePoint now) const override;
+  std::optional<TimePoint> leadershipConfirmedAt(TimePoint now) const override;
   const wire::Membership& membership() const override { return memberships_.latest(); }
 
  private:
@@ -86,7 +86,7 @@
   void becomeLeader();
   wire::Membership membershipWithVoterDisks() const;
   bool logIsUpToDate(const wire::VoteRequest& request) const;
-  bool hearsLeader() const;
+  bool hasLeaderContact() const;
   void onVoteRequest(const NodeName& from, const wire::VoteRequest& request);
   void answerPreVote(const NodeName& from, const wire::VoteRequest& request);
   void onVoteResponse(const wire::VoteResponse& response);
--- a/src/consensus/quorum_log_leader.cc
+++ b/src/consensus/quorum_log_leader.cc
@@ -290,7 +290,7 @@
   return last_contact && now < *last_contact + settings_.election_timeout_min - settings_.lease_drift_margin;
 }
 
-std::optional<TimePoint> QuorumLogImpl::followedAt(TimePoint now) const {
+std::optional<TimePoint> QuorumLogImpl::leadershipConfirmedAt(TimePoint now) const {
   const bool term_start_committed = leadership_ && log_.termAt(committed_) == hard_state_.term;
   return term_start_committed ? quorumContact(now) : std::nullopt;
 }
--- a/src/control/control_node.cc
+++ b/src/control/control_node.cc
@@ -81,7 +81,7 @@
   void take(consensus::PersistEffect effect, TimePoint now);
   void take(const consensus::ApplyEffect& effect, TimePoint now);
   void take(const consensus::RestoreEffect& effect, TimePoint now);
-  void take(const consensus::SnapshotWantedEffect& effect, TimePoint now);
+  void take(const consensus::SnapshotRequestEffect& effect, TimePoint now);
   void take(const consensus::RoleEffect& effect, TimePoint now);
   void take(const consensus::ReadReadyEffect& effect, TimePoint now);
 
@@ -341,7 +341,7 @@
 
 /// The log may grow to the size of the last snapshot first, so that snapshots cost no more than the entries
 /// that they replace. The log asks again.
-void ControlNodeImpl::take(const consensus::SnapshotWantedEffect&, TimePoint now) {
+void ControlNodeImpl::take(const consensus::SnapshotRequestEffect&, TimePoint now) {
   if (applied_bytes_ < snapshot_bytes_) {
     return;
   }
--- a/src/control/hosted_services.cc
+++ b/src/control/hosted_services.cc
@@ -21,10 +21,10 @@
 
 /// Adds the ends that aren't known yet, and what was refuted since.
 void mergeEnds(wire::CrashRecord& known, const wire::CrashRecord& other) {
-  for (const wire::ReplicaEnd& end : other.ended) {
+  for (const wire::ReplicaCrash& end : other.ended) {
     const auto place =
         std::find_if(known.ended.begin(), known.ended.end(),
-                     [&end](const wire::ReplicaEnd& one) { return one.replica == end.replica; });
+                     [&end](const wire::ReplicaCrash& one) { return one.replica == end.replica; });
     if (place == known.ended.end()) {
       known.ended.push_back(end);
     } else {
@@ -35,7 +35,7 @@
 
 bool anyEndCounts(const wire::CrashRecord& record) {
   return std::any_of(record.ended.begin(), record.ended.end(),
-                     [](const wire::ReplicaEnd& end) { return !end.refuted; });
+                     [](const wire::ReplicaCrash& end) { return !end.refuted; });
 }
 
 }  // namespace
--- a/src/control/table_publisher.cc
+++ b/src/control/table_publisher.cc
@@ -278,13 +278,13 @@
   if (!table.interests_known) {
     update.revision = table.base;
     update.digest = table.held_digest;
-    update.interests_wanted = true;
+    update.requests_interests = true;
     return update;
   }
   update.revision = revision_;
   update.digest = table.digest;
   update.full = table.full_wanted;
-  update.interests_wanted = table.digest_differed;
+  update.requests_interests = table.digest_differed;
   if (table.full_wanted) {
     for (const ModelName& name : table.interests) {
       addEntry(update, name);
--- a/src/control_process/storage_writer.cc
+++ b/src/control_process/storage_writer.cc
@@ -86,7 +86,7 @@
   while (pause()) {
     try {
       const std::vector<consensus::PersistEffect> rest = storage_->unwritten();
-      storage_->mend();
+      storage_->repair();
       storage_->persist(rest);
       dispatcher_.post([this] { on_recovered_(); });
       return true;
--- a/src/http/curl_request.cc
+++ b/src/http/curl_request.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "common/error.h"
-#include "http/silence_limits.h"
+#include "http/unresponsive_peer_timeouts.h"
 
 namespace ferryrock::http {
 
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -82,7 +82,7 @@
   virtual void stopListening() = 0;
   /// Closes each connection after its next response, with "Connection: close"; new connections are still
   /// accepted.
-  virtual void closeAfterAnswers() = 0;
+  virtual void closeAfterResponses() = 0;
   /// Closes the connections without a request in flight, within about one second.
   virtual void closeIdleConnections() = 0;
   /// Number of connections, including idle ones.
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -84,7 +84,7 @@
     closeListener();
   }
 
-  void closeAfterAnswers() override { close_after_responses_ = true; }
+  void closeAfterResponses() override { close_after_responses_ = true; }
 
   /// libmicrohttpd closes idle connections only by timeout, so the timeout is set to its minimum.
   void closeIdleConnections() override {
--- a/src/http/silence_limits.cc
+++ b/src/http/unresponsive_peer_timeouts.cc
@@ -1,4 +1,4 @@
-#include "http/silence_limits.h"
+#include "http/unresponsive_peer_timeouts.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
--- a/src/load/experiment/placement_experiment.cc
+++ b/src/load/experiment/placement_experiment.cc
@@ -44,13 +44,13 @@
 
 PlannerPolicies firstComePolicies() {
   PlannerPolicies policies = placement::defaultPolicies();
-  policies.load_order = std::make_unique<placement::FirstComeOrder>();
+  policies.load_order = std::make_unique<placement::FirstComeFirstServedOrder>();
   return policies;
 }
 
 PlannerPolicies unmergedPolicies() {
   PlannerPolicies policies = placement::defaultPolicies();
-  policies.replica_count = std::make_unique<placement::UnmergedReplicaCount>();
+  policies.replica_count = std::make_unique<placement::PerRouterReplicaCount>();
   return policies;
 }
 
@@ -58,8 +58,8 @@
 double priceOf(double weight) {
   placement::IdleModel model;
   model.cold_start_weight = weight;
-  model.expected_load = std::chrono::seconds(static_cast<int>(placement::kTailSeconds));
-  return placement::coldStartPrice(model) / placement::kTailSeconds;
+  model.expected_load = std::chrono::seconds(static_cast<int>(placement::kReferenceColdStartSeconds));
+  return placement::coldStartPrice(model) / placement::kReferenceColdStartSeconds;
 }
 
 VariantResult measure(const ExperimentSettings& settings, const UsageTrace& trace,
--- a/src/placement/keep_alive_policy.cc
+++ b/src/placement/keep_alive_policy.cc
@@ -106,7 +106,7 @@
   const double weight = std::clamp(model.cold_start_weight, 0.0, kMaxColdStartWeight);
   const double odds = weight / (1 - weight);
   const double load = toSeconds(model.expected_load);
-  return load * (load / kTailSeconds) * kIdleSecondsPerColdSecond * odds;
+  return load * (load / kReferenceColdStartSeconds) * kIdleSecondsPerColdSecond * odds;
 }
 
 LearnedKeepAlive::LearnedKeepAlive(std::size_t max_models) : max_models_(max_models) {}
--- a/src/placement/keep_alive_policy.h
+++ b/src/placement/keep_alive_policy.h
@@ -10,11 +10,11 @@
 namespace ferryrock::placement {
 
 /// Price of one cold start of this model in idle accelerator seconds. At cold_start_weight 0.5, one second of
-/// a cold start that takes kTailSeconds costs kIdleSecondsPerColdSecond accelerator seconds; the odds weight
-/// / (1 - weight) scale the price. The price per second is proportional to the length of the cold start,
-/// because tail latency matters most to callers.
+/// a cold start that takes kReferenceColdStartSeconds costs kIdleSecondsPerColdSecond accelerator seconds;
+/// the odds weight / (1 - weight) scale the price. The price per second is proportional to the length of the
+/// cold start, because tail latency matters most to callers.
 double coldStartPrice(const IdleModel& model);
-inline constexpr double kTailSeconds = 4;
+inline constexpr double kReferenceColdStartSeconds = 4;
 inline constexpr double kIdleSecondsPerColdSecond = 100;
 
 /// Learns from the idle gaps of each model. Chooses between keeping the replica, releasing it, and releasing
--- a/src/placement/load_policies.cc
+++ b/src/placement/load_policies.cc
@@ -51,17 +51,17 @@
   return kClassDistance * (static_cast<double>(candidate.reason) + late) - cost * urgency / duration;
 }
 
-double FirstComeOrder::rank(const LoadCandidate& candidate, TimePoint) const {
+double FirstComeFirstServedOrder::rank(const LoadCandidate& candidate, TimePoint) const {
   return toSeconds(candidate.requested_since.time_since_epoch());
 }
 
-std::uint32_t MergedReplicaCount::wanted(const DemandFigures& demand,
-                                         const wire::ResolvedModel& settings) const {
+std::uint32_t AggregateReplicaCount::wanted(const DemandFigures& demand,
+                                            const wire::ResolvedModel& settings) const {
   return replicasFor(std::uint64_t{demand.waiting} + demand.running, settings.concurrency);
 }
 
-std::uint32_t UnmergedReplicaCount::wanted(const DemandFigures& demand,
-                                           const wire::ResolvedModel& settings) const {
+std::uint32_t PerRouterReplicaCount::wanted(const DemandFigures& demand,
+                                            const wire::ResolvedModel& settings) const {
   return replicasFor(demand.running, settings.concurrency) + demand.routers_waiting;
 }
 
@@ -69,7 +69,7 @@
   PlannerPolicies policies;
   policies.placement = std::make_unique<SpreadingPlacement>();
   policies.load_order = std::make_unique<WaitingCostOrder>();
-  policies.replica_count = std::make_unique<MergedReplicaCount>();
+  policies.replica_count = std::make_unique<AggregateReplicaCount>();
   policies.keep_alive = std::make_unique<LearnedKeepAlive>();
   return policies;
 }
--- a/src/placement/load_policies.h
+++ b/src/placement/load_policies.h
@@ -19,19 +19,19 @@
 };
 
 /// Baseline: first come, first served.
-class FirstComeOrder : public LoadOrderPolicy {
+class FirstComeFirstServedOrder : public LoadOrderPolicy {
  public:
   double rank(const LoadCandidate& candidate, TimePoint now) const override;
 };
 
 /// Computes the number of replicas from the aggregate demand of all routers.
-class MergedReplicaCount : public ReplicaCountPolicy {
+class AggregateReplicaCount : public ReplicaCountPolicy {
  public:
   std::uint32_t wanted(const DemandFigures& demand, const wire::ResolvedModel& settings) const override;
 };
 
 /// Baseline: each router with waiting requests requires a replica of its own.
-class UnmergedReplicaCount : public ReplicaCountPolicy {
+class PerRouterReplicaCount : public ReplicaCountPolicy {
  public:
   std::uint32_t wanted(const DemandFigures& demand, const wire::ResolvedModel& settings) const override;
 };
--- a/src/placement/planner_impl.cc
+++ b/src/placement/planner_impl.cc
@@ -292,7 +292,7 @@
 }
 
 void PlannerImpl::expireProposals(TimePoint now) {
-  if (policies_.defects.never_expire) {
+  if (policies_.defects.never_expire_proposals) {
     return;
   }
   const ProposalTable::Expired expired = proposals_.expire(now);
--- a/src/placement/planner_reconcile.cc
+++ b/src/placement/planner_reconcile.cc
@@ -58,7 +58,7 @@
 
 ReplicaCounts PlannerImpl::countReplicas(const ModelState& state) const {
   ReplicaCounts counts;
-  counts.pending = policies_.defects.forget_pending ? 0 : proposals_.slotsOf(state.name);
+  counts.pending = policies_.defects.ignore_pending_proposals ? 0 : proposals_.slotsOf(state.name);
   const ModelVersion version = wantedVersion(state).version;
   for (const SlotView* view : slots_.of(state.name)) {
     counts.total += 1;
--- a/src/placement/policies.h
+++ b/src/placement/policies.h
@@ -109,8 +109,8 @@
 
 /// Defects that tests inject to verify that they are detected. Production sets none of them.
 struct PlannerDefects {
-  bool forget_pending = false;  ///< proposals in flight are not counted as replicas
-  bool never_expire = false;    ///< proposals without an outcome never expire
+  bool ignore_pending_proposals = false;  ///< proposals in flight are not counted as replicas
+  bool never_expire_proposals = false;    ///< proposals without an outcome never expire
 };
 
 /// The policies of one planner.
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -19,7 +19,7 @@
       std::count_if(record.ends.begin(), record.ends.end(), [](const auto& end) { return !end.second; }));
 }
 
-bool CrashLedger::noteEnd(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now) {
+bool CrashLedger::recordCrash(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now) {
   Record& record = calls_[call];
   const bool added = record.ends.size() < kMaxCrashes && record.ends.try_emplace(replica, false).second;
   if (added) {
@@ -30,7 +30,7 @@
   return added;
 }
 
-bool CrashLedger::noteAnswer(const wire::CallFingerprint& call) {
+bool CrashLedger::recordAnswer(const wire::CallFingerprint& call) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) {
     return false;
@@ -48,7 +48,7 @@
 bool CrashLedger::merge(const wire::CrashRecord& record, TimePoint now) {
   Record& known = calls_[record.call];
   bool modified = false;
-  for (const wire::ReplicaEnd& end : record.ended) {
+  for (const wire::ReplicaCrash& end : record.ended) {
     const auto place = known.ends.find(end.replica);
     if (place == known.ends.end() && known.ends.size() < kMaxCrashes) {
       known.ends.emplace(end.replica, end.refuted);
@@ -90,9 +90,9 @@
   on_trial_.clear();
   for (const auto& [call, record] : calls_) {
     const std::size_t ends = countedCrashes(record);
-    if (ends >= settings_.ends_borne) {
+    if (ends >= settings_.crash_threshold) {
       quarantined_.insert(call);
-    } else if (ends > 0 && ends + 1 == settings_.ends_borne) {
+    } else if (ends > 0 && ends + 1 == settings_.crash_threshold) {
       on_trial_.insert(call);
     }
   }
@@ -113,11 +113,11 @@
   return found == calls_.end() ? 0 : countedCrashes(found->second);
 }
 
-Standing CrashLedger::standing(const wire::CallFingerprint& call) const {
+QuarantineState CrashLedger::quarantineState(const wire::CallFingerprint& call) const {
   if (quarantined_.contains(call)) {
-    return Standing::Quarantined;
+    return QuarantineState::Quarantined;
   }
-  return ends(call) > 0 ? Standing::Suspected : Standing::Unsuspected;
+  return ends(call) > 0 ? QuarantineState::Suspected : QuarantineState::Unsuspected;
 }
 
 Duration CrashLedger::left(const wire::CallFingerprint& call, TimePoint now) const {
@@ -162,7 +162,7 @@
   std::uint64_t digest = 0;
   for (const wire::CrashRecord& record : shared) {
     std::uint64_t hash = record.call.high ^ record.call.low;
-    for (const wire::ReplicaEnd& end : record.ended) {
+    for (const wire::ReplicaCrash& end : record.ended) {
       hash = stableHash(end.replica.value, hash + (end.refuted ? 1 : 0));
     }
     digest ^= hash;
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -13,7 +13,7 @@
 struct CrashLedgerSettings {
   /// Number of replicas that may crash while they run a call until the call is quarantined. The loss of three
   /// replicas to one call is accepted.
-  std::size_t ends_borne = 3;
+  std::size_t crash_threshold = 3;
   /// A suspected call is forgotten when it has crashed no replica for this long. Longer than a caller waits
   /// (at most 35 s), so that all attempts of one caller are counted together.
   Duration suspicion = std::chrono::seconds(60);
@@ -24,7 +24,7 @@
   std::size_t max_calls = 2000;
 };
 
-enum class Standing : std::uint8_t {
+enum class QuarantineState : std::uint8_t {
   Unsuspected,  ///< no crash of a replica counts against the call
   Suspected,
   Quarantined,  ///< the call is no longer sent to replicas
@@ -36,21 +36,21 @@
 ///
 /// Attribution: when a replica crashes, the crash is recorded for all calls that ran on it. If another
 /// replica answers the call later, the call is harmless, and its crashes so far no longer count. A harmless
-/// call is therefore quarantined only if it ran on `ends_borne` crashing replicas in a row without an answer
-/// in between. Pure logic without I/O or a clock. Not thread-safe.
+/// call is therefore quarantined only if it ran on `crash_threshold` crashing replicas in a row without an
+/// answer in between. Pure logic without I/O or a clock. Not thread-safe.
 class CrashLedger {
  public:
   explicit CrashLedger(const CrashLedgerSettings& settings = {}) : settings_(settings) {}
 
   /// Records that the replica crashed while it ran the call. Returns true if this was new.
-  bool noteEnd(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now);
+  bool recordCrash(const wire::CallFingerprint& call, const ReplicaId& replica, TimePoint now);
   /// Records that a replica answered the call. Returns true if any crash counted until now.
-  bool noteAnswer(const wire::CallFingerprint& call);
+  bool recordAnswer(const wire::CallFingerprint& call);
   /// Merges another process's record. Returns true if any of it was new.
   bool merge(const wire::CrashRecord& record, TimePoint now);
   void expire(TimePoint now);
 
-  Standing standing(const wire::CallFingerprint& call) const;
+  QuarantineState quarantineState(const wire::CallFingerprint& call) const;
   /// Number of crashes that count against the call.
   std::size_t ends(const wire::CallFingerprint& call) const;
   /// Time until the call's quarantine ends; zero if it isn't quarantined.
@@ -59,7 +59,7 @@
   Duration age(const wire::CallFingerprint& call, TimePoint now) const;
   const std::set<wire::CallFingerprint>& quarantined() const { return quarantined_; }
   /// Calls that one more crash would quarantine, see Trial.
-  const std::set<wire::CallFingerprint>& onTrial() const { return on_trial_; }
+  const std::set<wire::CallFingerprint>& callsOnTrial() const { return on_trial_; }
   /// Number of changes so far.
   std::uint64_t changes() const { return changes_; }
   std::size_t size() const { return calls_.size(); }
--- a/src/router/control_link.cc
+++ b/src/router/control_link.cc
@@ -36,7 +36,7 @@
   if (update.term < leader_term_) {
     return;
   }
-  if (update.term > leader_term_ || leader_ != from || update.interests_wanted) {
+  if (update.term > leader_term_ || leader_ != from || update.requests_interests) {
     leader_knows_interests_ = false;
     next_status_ = std::min(next_status_, std::max(now, last_status_ + kShortestStatusDistance));
   } else {
--- a/src/service_process/call_dialect.h
+++ b/src/service_process/call_dialect.h
@@ -26,7 +26,7 @@
 };
 
 /// An HTTP response, or its head alone if the body is streamed.
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   http::Headers headers;
   std::string body;
@@ -41,8 +41,8 @@
   virtual ParsedCall parse(http::Request request) const = 0;
   /// The headers of a replica's response in the form that is sent to the caller.
   virtual http::Headers callerHeaders(const http::Headers& replica_headers) const = 0;
-  virtual HttpAnswer refusal(const RequestId& id, ResultCode code, bool not_run,
-                             std::optional<Duration> retry_after, const std::string& detail) const = 0;
+  virtual HttpResponse refusal(const RequestId& id, ResultCode code, bool not_run,
+                               std::optional<Duration> retry_after, const std::string& detail) const = 0;
   /// The HTTP request that sends the call to a replica.
   virtual http::ClientRequest attempt(const calls::SendAttemptEffect& effect,
                                       const CallContent& content) const = 0;
--- a/src/service_process/call_router_shell.cc
+++ b/src/service_process/call_router_shell.cc
@@ -128,13 +128,13 @@
 }
 
 void CallRouterShell::carryOut(const calls::DeliverAnswerEffect& effect) {
-  if (const HttpAnswer* answer = client_->answerOf(effect.attempt)) {
+  if (const HttpResponse* answer = client_->answerOf(effect.attempt)) {
     server_->deliver(effect.call, *answer);
   }
 }
 
 void CallRouterShell::carryOut(const calls::StartStreamEffect& effect) {
-  if (const HttpAnswer* head = client_->answerOf(effect.attempt)) {
+  if (const HttpResponse* head = client_->answerOf(effect.attempt)) {
     server_->start(effect.call, *head);
   }
 }
@@ -164,7 +164,7 @@
   timer_->enable(deadline > time ? deadline - time : Duration::zero());
 }
 
-void CallRouterShell::replaceSeeds(const CallRouterProcessSettings& fresh) {
+void CallRouterShell::applySeeds(const CallRouterProcessSettings& fresh) {
   router_.addSeeds(fresh.seedNodes());
   connectControl();
   log_.write(LogLevel::Info, "process.reloaded", {{"seeds", static_cast<std::int64_t>(fresh.seeds.size())}});
@@ -180,7 +180,7 @@
              {{"open_calls", static_cast<std::int64_t>(router_.openCalls())}});
   const TimePoint end = *stop_began_ + settings_.stop_limit;
   carryOut(router_.beginDrain(*stop_began_ + settings_.stop_accepts, end - kStopMargin, now()));
-  server_->server().closeAfterAnswers();
+  server_->server().closeAfterResponses();
   continueStop();
 }
 
@@ -230,11 +230,11 @@
   set("ferryrock_calls_quota_spent", "Calls refused since their tenant's quota is used up",
       static_cast<double>(counts.quota_spent));
   set("ferryrock_calls_quota_asked", "Calls whose credit was asked for before they ran",
-      static_cast<double>(counts.quota_asked));
+      static_cast<double>(counts.quota_waits));
   set("ferryrock_calls_quota_unknown", "Calls refused since no leader decides on their tenant's quota",
-      static_cast<double>(counts.quota_unknown));
+      static_cast<double>(counts.quota_undecided));
   set("ferryrock_replica_ends_seen", "Replicas found ended after they broke a call off",
-      static_cast<double>(counts.replica_ends));
+      static_cast<double>(counts.replica_crashes));
   set("ferryrock_calls_refused_quarantined", "Calls refused since several replicas ended under them",
       static_cast<double>(counts.quarantined));
   set("ferryrock_calls_quarantined", "Calls kept away from replicas, since several ended under them",
@@ -242,7 +242,7 @@
   set("ferryrock_replica_backoffs", "Times that a replica asked for a time without calls",
       static_cast<double>(counts.backoffs));
   set("ferryrock_replicas_leaving_told", "Replicas that said in an answer that they leave",
-      static_cast<double>(counts.leaving_told));
+      static_cast<double>(counts.leaving_notices));
   set("ferryrock_calls_waited_for_backoff", "Calls that waited for the end of a replica's backoff",
       static_cast<double>(counts.backoff_waits));
   set("ferryrock_calls_refused_backoff", "Calls refused since all replicas for them were in a backoff",
@@ -250,7 +250,7 @@
   set("ferryrock_replicas_in_backoff", "Replicas that want no calls from this router just now",
       static_cast<double>(router_.replicaNotices().inBackoff(now())));
   set("ferryrock_replica_limits_named", "Times that a replica's limit for all routers began or changed",
-      static_cast<double>(counts.limits_named));
+      static_cast<double>(counts.limit_changes));
   set("ferryrock_replicas_limited", "Replicas that have a limit for all routers, as far as this one knows",
       static_cast<double>(router_.replicaLimits().size()));
   const calls::ReplicaLimitCounts& limits = router_.replicaLimits().counts();
@@ -262,19 +262,19 @@
   set("ferryrock_limit_returned", "Credits that weren't used", static_cast<double>(limits.returned));
   set("ferryrock_limit_sent", "Sendings to replicas with a limit", static_cast<double>(limits.sent));
   set("ferryrock_limit_sent_alone", "Of those, without a leader, by this router's own part",
-      static_cast<double>(limits.alone));
+      static_cast<double>(limits.sent_locally));
   set("ferryrock_calls_waited_for_limit", "Calls that waited for credit under a replica's limit",
       static_cast<double>(counts.limit_waits));
   set("ferryrock_calls_refused_limit", "Calls refused since no replica for them had room under its limit",
       static_cast<double>(counts.limit_refused));
   set("ferryrock_replica_notices_unknown", "Answers with a header of the replicas' own that isn't known",
-      static_cast<double>(counts.unknown_notices));
+      static_cast<double>(counts.unknown_notice_headers));
   const std::optional<TimePoint> proved = router_.catalogProof().provedAt();
   set("ferryrock_catalog_proved_seconds_ago", "Age of the proof that the catalog is the newest; -1: none",
       proved ? toSeconds(now() - *proved) : -1);
   set("ferryrock_catalog_version", "Version of the catalog in force",
       static_cast<double>(router_.catalogVersion().value));
-  const std::optional<TimePoint> heard = router_.controlHeard();
+  const std::optional<TimePoint> heard = router_.lastControlContact();
   set("ferryrock_control_heard_seconds_ago",
       "Since a leader confirmed the catalog in force or sent a newer one; -1: never",
       heard ? toSeconds(now() - *heard) : -1);
--- a/src/service_process/call_router_shell.h
+++ b/src/service_process/call_router_shell.h
@@ -27,7 +27,7 @@
   /// when the router has drained or the time limit has passed.
   void beginStop(event::Callback on_stopped);
   /// Adds the seeds of reloaded settings and connects to them.
-  void replaceSeeds(const CallRouterProcessSettings& fresh);
+  void applySeeds(const CallRouterProcessSettings& fresh);
 
   const CallRouterProcessSettings& settings() const { return settings_; }
   bool ready() const { return router_.ready(); }
--- a/src/service_process/call_server.cc
+++ b/src/service_process/call_server.cc
@@ -26,7 +26,7 @@
     parsed = dialect_.parse(std::move(request));
   } catch (const Error& fault) {
     constexpr bool kNotRun = true;
-    HttpAnswer refusal =
+    HttpResponse refusal =
         dialect_.refusal(parsed.content.id, fault.code(), kNotRun, std::nullopt, fault.detail());
     response->respond(refusal.status, std::move(refusal.headers), std::move(refusal.body));
     return;
@@ -60,13 +60,13 @@
   return response;
 }
 
-void CallServer::deliver(calls::CallNumber call, const HttpAnswer& answer) {
+void CallServer::deliver(calls::CallNumber call, const HttpResponse& answer) {
   if (const http::ResponseWriterPtr response = take(call)) {
     response->respond(answer.status, dialect_.callerHeaders(answer.headers), answer.body);
   }
 }
 
-void CallServer::start(calls::CallNumber call, const HttpAnswer& head) {
+void CallServer::start(calls::CallNumber call, const HttpResponse& head) {
   const auto found = calls_.find(call);
   if (found != calls_.end()) {
     found->second.response->start(head.status, dialect_.callerHeaders(head.headers));
@@ -97,7 +97,7 @@
   if (content == nullptr) {
     return;
   }
-  HttpAnswer refusal =
+  HttpResponse refusal =
       dialect_.refusal(content->id, effect.code, effect.not_run, effect.retry_after, effect.detail);
   take(effect.call)->respond(refusal.status, std::move(refusal.headers), std::move(refusal.body));
 }
--- a/src/service_process/call_server.h
+++ b/src/service_process/call_server.h
@@ -27,8 +27,8 @@
   /// Returns nullptr if the call has ended.
   const CallContent* contentOf(calls::CallNumber call) const;
 
-  void deliver(calls::CallNumber call, const HttpAnswer& answer);
-  void start(calls::CallNumber call, const HttpAnswer& head);
+  void deliver(calls::CallNumber call, const HttpResponse& answer);
+  void start(calls::CallNumber call, const HttpResponse& head);
   void pass(calls::CallNumber call, const std::string& bytes);
   void finish(calls::CallNumber call);
   void breakOff(calls::CallNumber call);
--- a/src/service_process/evacuation_api.cc
+++ b/src/service_process/evacuation_api.cc
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-bool answerEvacuations(ServiceControlShell& shell, const http::Request& request,
+bool handleEvacuations(ServiceControlShell& shell, const http::Request& request,
                        const http::ResponseWriterPtr& response) {
   if (request.method == "GET" && request.path == kListPath) {
     respondZones(shell, response);
--- a/src/service_process/evacuation_api.h
+++ b/src/service_process/evacuation_api.h
@@ -16,7 +16,7 @@
 /// A change is answered with the updated list after it is committed, so that it survives the loss of as many
 /// disks as the settings tolerate. A member that isn't the leader responds with an error and the leader's
 /// URL. Returns false if the request is for another path or method. Throws Error if the body is malformed.
-bool answerEvacuations(ServiceControlShell& shell, const http::Request& request,
+bool handleEvacuations(ServiceControlShell& shell, const http::Request& request,
                        const http::ResponseWriterPtr& response);
 
 }  // namespace ferryrock::service_process
--- a/src/service_process/quarantine_api.cc
+++ b/src/service_process/quarantine_api.cc
@@ -18,7 +18,7 @@
 
 ordered_json callToJson(const services::SuspectedCall& call) {
   ordered_json ends = ordered_json::array();
-  for (const wire::ReplicaEnd& end : call.record.ended) {
+  for (const wire::ReplicaCrash& end : call.record.ended) {
     ends.push_back({{"replica", end.replica.value}, {"refuted", end.refuted}});
   }
   return {{"fingerprint", quarantine::toText(call.record.call)},
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-bool answerQuarantine(ServiceControlShell& shell, const http::Request& request,
+bool handleQuarantine(ServiceControlShell& shell, const http::Request& request,
                       const http::ResponseWriterPtr& response) {
   const bool releases = request.method == "POST" && request.path == kReleasePath;
   if (!releases && request.path != kListPath) {
--- a/src/service_process/quarantine_api.h
+++ b/src/service_process/quarantine_api.h
@@ -15,7 +15,7 @@
 ///
 /// Any member answers from its own state; a release reaches the other members within one second. Returns
 /// false if the request is for another path or method. Throws Error if the body is malformed.
-bool answerQuarantine(ServiceControlShell& shell, const http::Request& request,
+bool handleQuarantine(ServiceControlShell& shell, const http::Request& request,
                       const http::ResponseWriterPtr& response);
 
 }  // namespace ferryrock::service_process
--- a/src/service_process/replica_client.cc
+++ b/src/service_process/replica_client.cc
@@ -54,7 +54,8 @@
   callbacks.on_data = [this, number](std::string_view bytes) { onData(number, bytes); };
   callbacks.on_complete = [this, number] { onComplete(number); };
   callbacks.on_failure = [this, number](http::SendProgress progress, const std::string& reason) {
-    fail(number, progress == http::SendProgress::NotSent ? AttemptFailure::NotSent : AttemptFailure::Unproved,
+    fail(number,
+         progress == http::SendProgress::NotSent ? AttemptFailure::NotSent : AttemptFailure::OutcomeUnknown,
          reason);
   };
   attempt->call = client_.send(std::move(request), std::move(callbacks));
@@ -64,7 +65,7 @@
   take(attempt);
 }
 
-const HttpAnswer* ReplicaClient::answerOf(AttemptNumber attempt) const {
+const HttpResponse* ReplicaClient::answerOf(AttemptNumber attempt) const {
   const auto found = attempts_.find(attempt);
   return found == attempts_.end() ? nullptr : &found->second->answer;
 }
@@ -92,7 +93,7 @@
     if (!notice.empty()) {
       callbacks_.on_notice(attempt.replica, notice);
     }
-    fail(number, AttemptFailure::Foreign, "response does not carry the id of this call");
+    fail(number, AttemptFailure::ForeignResponse, "response does not carry the id of this call");
     return;
   }
   callbacks_.on_head(number, notice);
@@ -147,7 +148,7 @@
   }
   const Attempt& attempt = *found->second;
   if (attempt.streaming && attempt.events.unfinishedBytes() > 0) {
-    fail(number, AttemptFailure::Unproved, "event stream ended in the middle of an event");
+    fail(number, AttemptFailure::OutcomeUnknown, "event stream ended in the middle of an event");
   } else if (attempt.streaming) {
     callbacks_.on_stream_end(number);
     take(number);
--- a/src/service_process/replica_client.h
+++ b/src/service_process/replica_client.h
@@ -40,7 +40,7 @@
   void cancel(calls::AttemptNumber attempt);
   /// The response of an attempt: valid within its on_answer callback, or as the head alone within the
   /// callbacks for the events of a stream. nullptr if the attempt has ended.
-  const HttpAnswer* answerOf(calls::AttemptNumber attempt) const;
+  const HttpResponse* answerOf(calls::AttemptNumber attempt) const;
   std::size_t running() const { return attempts_.size(); }
 
  private:
@@ -48,7 +48,7 @@
     RequestId id;
     ReplicaId replica;
     std::string address;
-    HttpAnswer answer;
+    HttpResponse answer;
     bool streaming = false;
     EventSplitter events;
     std::unique_ptr<http::ClientCall> call;
--- a/src/service_process/replica_prober.cc
+++ b/src/service_process/replica_prober.cc
@@ -45,7 +45,7 @@
   };
   callbacks.on_refused = [probe] { probe->refused = true; };
   callbacks.on_failure = [this, replica = effect.replica, probe](http::SendProgress, const std::string&) {
-    finish(replica, probe->refused ? ProbeOutcome::Ended : ProbeOutcome::Unknown);
+    finish(replica, probe->refused ? ProbeOutcome::Terminated : ProbeOutcome::Unknown);
   };
   probe->call = client_.send(std::move(request), std::move(callbacks));
 }
--- a/src/service_process/service_control_shell.cc
+++ b/src/service_process/service_control_shell.cc
@@ -47,15 +47,15 @@
   control.control.log.retained_entries = kRetainedEntries;
   control.http = settings.listen_control;
   control.seeds = settings.seedNodes();
-  control.losses_borne = settings.losses_borne;
+  control.tolerated_losses = settings.tolerated_losses;
   for (const std::string& zone : settings.zones) {
     control.zones.emplace_back(zone);
   }
   control.replica_heartbeat = settings.replica_heartbeat;
-  control.router_out_of_touch = settings.router_out_of_touch;
+  control.router_contact_timeout = settings.router_contact_timeout;
   control.order_lease = settings.order_lease;
   control.placement = settings.placement;
-  control.tells_loads = settings.tells_loads;
+  control.publishes_loads = settings.publishes_loads;
   control.quota_tolerance = settings.quota_tolerance;
   return control;
 }
@@ -144,8 +144,8 @@
       kStorageRetry);
 }
 
-services::QuestionNumber ServiceControlShell::registerCallback(AnswerCallback callback) {
-  const services::QuestionNumber number{next_request_number_++};
+services::ControlRequestNumber ServiceControlShell::registerCallback(AnswerCallback callback) {
+  const services::ControlRequestNumber number{next_request_number_++};
   pending_requests_.emplace(number, std::move(callback));
   return number;
 }
@@ -155,13 +155,13 @@
   log_.write(LogLevel::Info, "catalog.offered",
              {{"version", static_cast<std::int64_t>(catalog.version.value)},
               {"held", static_cast<std::int64_t>(logged_view_.catalog.value)}});
-  const services::QuestionNumber number = registerCallback(std::move(callback));
+  const services::ControlRequestNumber number = registerCallback(std::move(callback));
   const StepWatch::Step step(steps_, "catalog");
   carryOut(control_->replaceCatalog(number, std::move(catalog), std::move(source), now()));
 }
 
 void ServiceControlShell::readCatalog(AnswerCallback callback) {
-  const services::QuestionNumber number = registerCallback(std::move(callback));
+  const services::ControlRequestNumber number = registerCallback(std::move(callback));
   carryOut(control_->readCatalog(number, now()));
 }
 
@@ -170,7 +170,7 @@
   log_.write(
       LogLevel::Info, evacuated ? "zone.evacuate" : "zone.restore",
       {{"zone", std::string_view(zone.value).substr(0, kMaxLoggedLength)}, {"leads", logged_view_.leads}});
-  const services::QuestionNumber number = registerCallback(std::move(callback));
+  const services::ControlRequestNumber number = registerCallback(std::move(callback));
   carryOut(control_->evacuateZone(number, zone, evacuated, now()));
 }
 
@@ -179,14 +179,14 @@
     log_.write(LogLevel::Info, "replica.leaving",
                {{"replica", std::string_view(report.id.value)},
                 {"sequence", static_cast<std::int64_t>(report.sequence)},
-                {"ends_in_ms", report.ends_in_ms.value_or(-1)}});
+                {"ends_in_ms", report.terminates_in_ms.value_or(-1)}});
   }
-  const services::QuestionNumber number = registerCallback(std::move(callback));
+  const services::ControlRequestNumber number = registerCallback(std::move(callback));
   const StepWatch::Step step(steps_, "report");
   carryOut(control_->onReport(number, report, now()));
 }
 
-void ServiceControlShell::noteUnreadable(const std::string& path, const Error& fault) {
+void ServiceControlShell::recordMalformedRequest(const std::string& path, const Error& fault) {
   // The path is chosen by the client and truncated; this length is enough to identify the request.
   constexpr std::size_t kMaxLoggedLength = 120;
   log_.write(LogLevel::Warning, "question.unreadable",
@@ -233,13 +233,13 @@
               {"reason", nameOf(effect.reason)},
               {"waiting", static_cast<std::int64_t>(effect.waiting)},
               {"urgency", effect.urgency},
-              {"near_replicas", static_cast<std::int64_t>(effect.near_replicas)},
+              {"near_replicas", static_cast<std::int64_t>(effect.local_tier_replicas)},
               {"store_loads", static_cast<std::int64_t>(effect.store_loads)},
               {"store_width", effect.store_width}});
 }
 
 void ServiceControlShell::carryOut(const services::AnswerEffect& effect) {
-  const auto found = pending_requests_.find(effect.question);
+  const auto found = pending_requests_.find(effect.request_number);
   if (found == pending_requests_.end()) {
     return;
   }
@@ -254,7 +254,7 @@
   callback(effect);
 }
 
-void ServiceControlShell::carryOut(const services::CatalogSpreadEffect& effect) {
+void ServiceControlShell::carryOut(const services::CatalogRolloutEffect& effect) {
   if (effect.behind == 0) {
     log_.write(LogLevel::Info, "catalog.everywhere",
                {{"version", static_cast<std::int64_t>(effect.version.value)},
@@ -268,7 +268,7 @@
               {"behind", static_cast<std::int64_t>(effect.behind)},
               {"router", std::string_view(effect.router.value)},
               {"holds", static_cast<std::int64_t>(effect.held.value)},
-              {"heard_ms_ago", toMilliseconds(effect.silent)},
+              {"heard_ms_ago", toMilliseconds(effect.last_contact_age)},
               {"after_ms", toMilliseconds(effect.since)}});
 }
 
@@ -376,7 +376,7 @@
   timer_->enable(deadline > time ? deadline - time : Duration::zero());
 }
 
-void ServiceControlShell::replaceSeeds(const ServiceControlProcessSettings& fresh) {
+void ServiceControlShell::applySeeds(const ServiceControlProcessSettings& fresh) {
   control_->addSeeds(fresh.seedNodes());
   next_peer_check_ = {};
   updatePeers();
--- a/src/service_process/service_control_shell.h
+++ b/src/service_process/service_control_shell.h
@@ -39,14 +39,14 @@
   void evacuateZone(const ZoneName& zone, bool evacuated, AnswerCallback callback);
   std::vector<ZoneName> evacuatedZones() const { return control_->evacuatedZones(); }
   /// Logs a request or report that is malformed and was rejected as a whole.
-  void noteUnreadable(const std::string& path, const Error& fault);
+  void recordMalformedRequest(const std::string& path, const Error& fault);
   std::vector<std::string> routerAddresses(const ZoneName& zone, std::size_t limit);
   std::vector<services::SuspectedCall> suspectedCalls() { return control_->suspectedCalls(now()); }
   void releaseCall(const wire::CallFingerprint& call);
 
   const ServiceControlProcessSettings& settings() const { return settings_; }
   std::string metricsText();
-  void replaceSeeds(const ServiceControlProcessSettings& fresh);
+  void applySeeds(const ServiceControlProcessSettings& fresh);
   /// Hands leadership over and answers pending requests, then calls on_stopped once; after a time limit in
   /// any case.
   void beginStop(event::Callback on_stopped);
@@ -59,8 +59,8 @@
   void carryOut(const services::InspectReplicaEffect& effect) { orders_->send(effect); }
   void carryOut(const services::ModelUnplacedEffect& effect);
   void carryOut(const services::AnswerEffect& effect);
-  void carryOut(const services::CatalogSpreadEffect& effect);
-  services::QuestionNumber registerCallback(AnswerCallback callback);
+  void carryOut(const services::CatalogRolloutEffect& effect);
+  services::ControlRequestNumber registerCallback(AnswerCallback callback);
   void openControl(storage::FileSystem& files);
   void updatePeers();
   void logViewChanges();
@@ -83,7 +83,7 @@
   std::unique_ptr<OrderClient> orders_;
   std::unique_ptr<event::Timer> timer_;
   std::unique_ptr<event::Timer> stop_timer_;
-  std::map<services::QuestionNumber, AnswerCallback> pending_requests_;
+  std::map<services::ControlRequestNumber, AnswerCallback> pending_requests_;
   std::uint64_t next_request_number_ = 1;
   std::vector<NodeName> connected_peers_;
   services::ServiceControlView logged_view_;
--- a/src/service_process/service_settings.cc
+++ b/src/service_process/service_settings.cc
@@ -83,19 +83,19 @@
   settings.data_folder = reader.text("data_folder");
   settings.bootstrap = reader.boolean("bootstrap", false);
   constexpr std::int64_t kMaxToleratedLosses = 10;
-  settings.losses_borne = static_cast<std::uint32_t>(
-      reader.integer("losses_borne", 0, kMaxToleratedLosses, settings.losses_borne));
+  settings.tolerated_losses = static_cast<std::uint32_t>(
+      reader.integer("losses_borne", 0, kMaxToleratedLosses, settings.tolerated_losses));
   settings.zones = reader.has("zones") ? reader.textList("zones") : std::vector<std::string>();
-  settings.router_out_of_touch =
-      reader.duration("router_out_of_touch", 100ms, 1h, settings.router_out_of_touch);
+  settings.router_contact_timeout =
+      reader.duration("router_out_of_touch", 100ms, 1h, settings.router_contact_timeout);
   settings.order_lease = reader.duration("order_lease", 0ms, 1h, settings.order_lease);
   settings.replica_heartbeat = reader.duration("replica_heartbeat", 10ms, 1h, settings.replica_heartbeat);
   services::PlacementSwitches& placement = settings.placement;
-  placement.learned_store_width = reader.boolean("placement_learned_store_width", true);
-  placement.near_weights_first = reader.boolean("placement_near_weights_first", true);
+  placement.estimated_store_width = reader.boolean("placement_learned_store_width", true);
+  placement.local_weights_first = reader.boolean("placement_near_weights_first", true);
   placement.expected_times = reader.boolean("placement_expected_times", true);
-  placement.prompt_doubts = reader.boolean("placement_prompt_doubts", true);
-  settings.tells_loads = reader.boolean("balance_by_fleet_load", false);
+  placement.prompt_inspections = reader.boolean("placement_prompt_doubts", true);
+  settings.publishes_loads = reader.boolean("balance_by_fleet_load", false);
   constexpr std::uint64_t kMinBodyBytes = 1'000;
   constexpr std::uint64_t kMaxBodyBytes = 1'000'000'000;
   settings.max_body_bytes =
--- a/src/service_process/service_settings.h
+++ b/src/service_process/service_settings.h
@@ -53,13 +53,14 @@
   std::string listen_control;  ///< "host:port", for operators and replicas
   std::string data_folder;
   bool bootstrap = false;  ///< true at the first start of the whole system
-  std::uint32_t losses_borne = 1;
+  std::uint32_t tolerated_losses = 1;
   std::vector<std::string> zones;  ///< zones that operators may evacuate; empty: the zones of known replicas
-  Duration router_out_of_touch = std::chrono::seconds(3);
+  Duration router_contact_timeout = std::chrono::seconds(3);
   Duration order_lease = std::chrono::seconds(3);
   Duration replica_heartbeat = std::chrono::seconds(1);
   services::PlacementSwitches placement;
-  bool tells_loads = false;  ///< loads are published, so that routers balance by the load over all routers
+  bool publishes_loads =
+      false;  ///< loads are published, so that routers balance by the load over all routers
   std::size_t max_body_bytes = 64 << 20;
 };
 
--- a/src/services/catalog_spread.cc
+++ b/src/services/catalog_rollout.cc
@@ -1,4 +1,4 @@
-#include "services/catalog_spread.h"
+#include "services/catalog_rollout.h"
 
 namespace ferryrock::services {
 namespace {
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-std::optional<CatalogSpreadEffect> CatalogRollout::poll(CatalogVersion version,
-                                                        const std::map<NodeName, RouterRecord>& routers,
-                                                        TimePoint now) {
+std::optional<CatalogRolloutEffect> CatalogRollout::poll(CatalogVersion version,
+                                                         const std::map<NodeName, RouterRecord>& routers,
+                                                         TimePoint now) {
   if (version > version_) {
     version_ = version;
     learned_at_ = now;
@@ -24,7 +24,7 @@
     return std::nullopt;
   }
   next_scan_ = now + kScanInterval;
-  const CatalogSpreadEffect state = count(routers, now);
+  const CatalogRolloutEffect state = count(routers, now);
   complete_ = state.behind == 0;
   if (!complete_ && now < next_report_) {
     return std::nullopt;
@@ -33,9 +33,9 @@
   return state;
 }
 
-CatalogSpreadEffect CatalogRollout::count(const std::map<NodeName, RouterRecord>& routers,
-                                          TimePoint now) const {
-  CatalogSpreadEffect state;
+CatalogRolloutEffect CatalogRollout::count(const std::map<NodeName, RouterRecord>& routers,
+                                           TimePoint now) const {
+  CatalogRolloutEffect state;
   state.version = version_;
   state.since = now - learned_at_;
   for (const auto& [name, record] : routers) {
@@ -49,7 +49,7 @@
     if (++state.behind == 1) {
       state.router = name;
       state.held = record.status.catalog;
-      state.silent = now - record.last_contact;
+      state.last_contact_age = now - record.last_contact;
     }
   }
   return state;
--- a/src/services/catalog_spread.h
+++ b/src/services/catalog_rollout.h
@@ -12,14 +12,14 @@
 
 /// Effect: rollout state of the newest committed catalog among the routers that are in contact with the
 /// leader.
-struct CatalogSpreadEffect {
+struct CatalogRolloutEffect {
   CatalogVersion version;
   std::size_t routers = 0;  ///< routers in contact with the leader
   std::size_t behind = 0;   ///< of these, routers on an older version; 0: the version is in force everywhere
   NodeName router;          ///< first router that is behind, by name; empty: none
   CatalogVersion held;      ///< version in force at that router
-  Duration silent{};        ///< time since the last status of that router
-  Duration since{};         ///< time since the leader learned that the version is committed
+  Duration last_contact_age{};  ///< time since the last status of that router
+  Duration since{};             ///< time since the leader learned that the version is committed
 };
 
 /// Tracks the rollout of one leader's newest catalog until it is in force at every router in contact. Used by
@@ -32,11 +32,11 @@
   /// Returns a state to report: once when the version is in force at all routers in contact, and once a
   /// second until then. Scans the routers at most every 50 ms, and stops scanning once the rollout is
   /// complete.
-  std::optional<CatalogSpreadEffect> poll(CatalogVersion version,
-                                          const std::map<NodeName, RouterRecord>& routers, TimePoint now);
+  std::optional<CatalogRolloutEffect> poll(CatalogVersion version,
+                                           const std::map<NodeName, RouterRecord>& routers, TimePoint now);
 
  private:
-  CatalogSpreadEffect count(const std::map<NodeName, RouterRecord>& routers, TimePoint now) const;
+  CatalogRolloutEffect count(const std::map<NodeName, RouterRecord>& routers, TimePoint now) const;
 
   Duration contact_timeout_;
   CatalogVersion version_;
--- a/src/services/cell_keeper.cc
+++ b/src/services/cell_membership_manager.cc
@@ -1,4 +1,4 @@
-#include "services/cell_keeper.h"
+#include "services/cell_membership_manager.h"
 
 #include <algorithm>
 
@@ -16,16 +16,17 @@
 
 }  // namespace
 
-void CellKeeper::onHello(const wire::MemberHello& hello, TimePoint now) {
+void CellMembershipManager::onHello(const wire::MemberHello& hello, TimePoint now) {
   contacts_[hello.node] = {hello, now};
 }
 
-const wire::MemberHello* CellKeeper::helloOf(const NodeName& node) const {
+const wire::MemberHello* CellMembershipManager::helloOf(const NodeName& node) const {
   const auto contact = contacts_.find(node);
   return contact == contacts_.end() ? nullptr : &contact->second.hello;
 }
 
-std::vector<std::string> CellKeeper::servingMembers(const wire::Membership& membership, TimePoint now) const {
+std::vector<std::string> CellMembershipManager::servingMembers(const wire::Membership& membership,
+                                                               TimePoint now) const {
   std::vector<std::string> addresses;
   for (const auto& [node, contact] : contacts_) {
     const bool current = contact.hello.has_leader && now - contact.last_contact < kHelloTtl;
@@ -36,14 +37,15 @@
   return addresses;
 }
 
-Duration CellKeeper::silence(const wire::Member& member, TimePoint now) const {
+Duration CellMembershipManager::silence(const wire::Member& member, TimePoint now) const {
   const auto contact = contacts_.find(member.node);
   const bool received = contact != contacts_.end() && contact->second.hello.id == member.id;
   return now - (received ? std::max(contact->second.last_contact, observing_since_) : observing_since_);
 }
 
-std::optional<control::MembershipChange> CellKeeper::nextChange(const wire::Membership& membership,
-                                                                MemberId self, TimePoint now) const {
+std::optional<control::MembershipChange> CellMembershipManager::nextChange(const wire::Membership& membership,
+                                                                           MemberId self,
+                                                                           TimePoint now) const {
   if (auto lost = removeMemberWithLostDisk(membership, now)) {
     return lost;
   }
@@ -58,7 +60,7 @@
 
 /// A process that has a member's node name but another identity has lost its disk: the identity is stored
 /// there.
-std::optional<control::MembershipChange> CellKeeper::removeMemberWithLostDisk(
+std::optional<control::MembershipChange> CellMembershipManager::removeMemberWithLostDisk(
     const wire::Membership& membership, TimePoint now) const {
   for (const auto& [node, contact] : contacts_) {
     const wire::Member* member = consensus::findNode(membership, node);
@@ -70,8 +72,8 @@
   return std::nullopt;
 }
 
-std::optional<control::MembershipChange> CellKeeper::addJoiningLearner(const wire::Membership& membership,
-                                                                       TimePoint now) const {
+std::optional<control::MembershipChange> CellMembershipManager::addJoiningLearner(
+    const wire::Membership& membership, TimePoint now) const {
   for (const auto& [node, contact] : contacts_) {
     const bool known = consensus::findMember(membership, contact.hello.id) != nullptr;
     if (!known && now - contact.last_contact < kHelloTtl) {
@@ -88,8 +90,8 @@
 
 /// Promotes a learner before the silent voter that it replaces is removed: promotion requires that the
 /// learner has caught up, so a voter is only removed once a replacement holds the log.
-std::optional<control::MembershipChange> CellKeeper::adjustVoters(const wire::Membership& membership,
-                                                                  MemberId self, TimePoint now) const {
+std::optional<control::MembershipChange> CellMembershipManager::adjustVoters(
+    const wire::Membership& membership, MemberId self, TimePoint now) const {
   const wire::Member* learner = nullptr;
   const wire::Member* silent_voter = nullptr;
   for (const wire::Member& member : membership.members) {
@@ -111,8 +113,8 @@
   return std::nullopt;
 }
 
-std::optional<control::MembershipChange> CellKeeper::removeSilentLearner(const wire::Membership& membership,
-                                                                         TimePoint now) const {
+std::optional<control::MembershipChange> CellMembershipManager::removeSilentLearner(
+    const wire::Membership& membership, TimePoint now) const {
   for (const wire::Member& member : membership.members) {
     if (!member.voter && silence(member, now) > settings_.learner_timeout) {
       return change(control::MembershipAction::Remove, member);
--- a/src/services/cell_keeper.h
+++ b/src/services/cell_membership_manager.h
@@ -22,9 +22,9 @@
 /// Decides which membership change the cell needs next: processes that request to join are added as learners,
 /// learners are promoted while the cell has too few voters, and a voter is replaced when its disk was lost,
 /// or when it is silent and a learner is available. One change at a time. Used by one thread.
-class CellKeeper {
+class CellMembershipManager {
  public:
-  CellKeeper(const CellMembershipSettings& settings, TimePoint now)
+  CellMembershipManager(const CellMembershipSettings& settings, TimePoint now)
       : settings_(settings), observing_since_(now) {}
 
   void onHello(const wire::MemberHello& hello, TimePoint now);
--- a/src/services/limit_ledger.cc
+++ b/src/services/limit_ledger.cc
@@ -41,7 +41,7 @@
   if (!acceptSequence(request)) {
     return reply;
   }
-  for (const wire::HeardLimit& heard : request.heard) {
+  for (const wire::ObservedLimit& heard : request.heard) {
     const TimePoint at = now - std::chrono::milliseconds(std::max<std::int64_t>(0, heard.age_ms));
     if (heard.calls_per_second) {
       observeLimit(heard.replica, *heard.calls_per_second, at, now);
@@ -50,9 +50,9 @@
     }
   }
   for (const ReplicaId& replica : request.returned) {
-    giveBack(replica, now);
+    returnCredit(replica, now);
   }
-  for (const wire::LimitAsk& ask : request.asks) {
+  for (const wire::LimitCreditRequest& ask : request.asks) {
     observeLimit(ask.replica, ask.calls_per_second,
                  now - std::chrono::milliseconds(std::max<std::int64_t>(0, ask.age_ms)), now);
     reply.decisions.push_back(decide(ask, now));
@@ -114,7 +114,7 @@
   changed_.push_back(replica);
 }
 
-void LimitLedger::giveBack(const ReplicaId& replica, TimePoint now) {
+void LimitLedger::returnCredit(const ReplicaId& replica, TimePoint now) {
   const auto account = accounts_.find(replica);
   if (account != accounts_.end() && !account->second.ended) {
     refill(account->second, now);
@@ -124,7 +124,7 @@
 }
 
 double LimitLedger::rateOf(const Account& account) {
-  return std::max(wire::kLeastLimitRate, account.per_second);
+  return std::max(wire::kMinLimitRate, account.per_second);
 }
 
 void LimitLedger::refill(Account& account, TimePoint now) {
@@ -137,7 +137,7 @@
 /// Grants credit in the order of the requests, in advance as well if the call can wait for it. Refused
 /// callers get retry times that are staggered at the rate at which credit accrues, so that they don't return
 /// together.
-wire::LimitDecision LimitLedger::decide(const wire::LimitAsk& ask, TimePoint now) {
+wire::LimitDecision LimitLedger::decide(const wire::LimitCreditRequest& ask, TimePoint now) {
   wire::LimitDecision decision;
   decision.number = ask.number;
   const auto found = accounts_.find(ask.replica);
--- a/src/services/limit_ledger.h
+++ b/src/services/limit_ledger.h
@@ -58,8 +58,8 @@
   bool acceptSequence(const wire::LimitRequest& request);
   void observeLimit(const ReplicaId& replica, double per_second, TimePoint at, TimePoint now);
   void observeNoLimit(const ReplicaId& replica, TimePoint sent);
-  void giveBack(const ReplicaId& replica, TimePoint now);
-  wire::LimitDecision decide(const wire::LimitAsk& ask, TimePoint now);
+  void returnCredit(const ReplicaId& replica, TimePoint now);
+  wire::LimitDecision decide(const wire::LimitCreditRequest& ask, TimePoint now);
   static void refill(Account& account, TimePoint now);
   static double rateOf(const Account& account);
   void evictOldest();
--- a/src/services/model_demand.cc
+++ b/src/services/model_demand.cc
@@ -24,17 +24,18 @@
   return recent_arrivals / kDecaySeconds;
 }
 
-void ModelDemand::accept(const NodeName& router, const std::vector<wire::ModelWant>& wants, TimePoint now) {
+void ModelDemand::accept(const NodeName& router, const std::vector<wire::ModelCallCounts>& model_calls,
+                         TimePoint now) {
   forgetRouter(router);
-  for (const wire::ModelWant& counts : wants) {
+  for (const wire::ModelCallCounts& counts : model_calls) {
     addCounts(counts, 1, now);
   }
-  last_reports_[router] = wants;
+  last_reports_[router] = model_calls;
 }
 
 void ModelDemand::keepRouters(const std::map<NodeName, RouterRecord>& routers) {
   std::vector<NodeName> gone;
-  for (const auto& [router, wants] : last_reports_) {
+  for (const auto& [router, model_calls] : last_reports_) {
     if (!routers.contains(router)) {
       gone.push_back(router);
     }
@@ -49,20 +50,20 @@
   if (known == last_reports_.end()) {
     return;
   }
-  for (const wire::ModelWant& counts : known->second) {
+  for (const wire::ModelCallCounts& counts : known->second) {
     addCounts(counts, -1, TimePoint{});
   }
   last_reports_.erase(known);
 }
 
-void ModelDemand::addCounts(const wire::ModelWant& counts, int sign, TimePoint now) {
+void ModelDemand::addCounts(const wire::ModelCallCounts& counts, int sign, TimePoint now) {
   add({counts.service, counts.model, {}}, counts, sign, now);
   if (!counts.adapter.empty()) {
     add({counts.service, counts.model, counts.adapter}, counts, sign, now);
   }
 }
 
-void ModelDemand::add(const ModelKey& key, const wire::ModelWant& counts, int sign, TimePoint now) {
+void ModelDemand::add(const ModelKey& key, const wire::ModelCallCounts& counts, int sign, TimePoint now) {
   KeyDemand& demand = keys_[key];
   demand.waiting = addClamped(demand.waiting, counts.waiting, sign);
   demand.running = addClamped(demand.running, counts.running, sign);
@@ -80,10 +81,10 @@
   return found == keys_.end() ? KeyDemand{} : found->second;
 }
 
-void ModelDemand::fade(TimePoint now) {
+void ModelDemand::decay(TimePoint now) {
   const double passed = toSeconds(now - decayed_at_);
   decayed_at_ = now;
-  const auto kept = [passed](double fade) { return std::exp(-std::clamp(passed, 0.0, fade) / fade); };
+  const auto kept = [passed](double decay) { return std::exp(-std::clamp(passed, 0.0, decay) / decay); };
   const double kept_recent = kept(kDecaySeconds);
   const double kept_long_term = kept(kSlowDecaySeconds);
   for (auto& [key, demand] : keys_) {
--- a/src/services/model_demand.h
+++ b/src/services/model_demand.h
@@ -33,7 +33,7 @@
 /// Aggregates the call counts that routers report per model and adapter. Not thread-safe.
 class ModelDemand {
  public:
-  void accept(const NodeName& router, const std::vector<wire::ModelWant>& wants, TimePoint now);
+  void accept(const NodeName& router, const std::vector<wire::ModelCallCounts>& model_calls, TimePoint now);
   /// Discards the counts of routers that the directory doesn't list.
   void keepRouters(const std::map<NodeName, RouterRecord>& routers);
 
@@ -42,15 +42,15 @@
   KeyDemand find(const ModelKey& key) const;
   /// Decays the arrival counts up to `now` and removes keys without calls whose arrivals have decayed to
   /// almost zero.
-  void fade(TimePoint now);
+  void decay(TimePoint now);
 
  private:
   void forgetRouter(const NodeName& router);
-  void add(const ModelKey& key, const wire::ModelWant& counts, int sign, TimePoint now);
-  void addCounts(const wire::ModelWant& counts, int sign, TimePoint now);
+  void add(const ModelKey& key, const wire::ModelCallCounts& counts, int sign, TimePoint now);
+  void addCounts(const wire::ModelCallCounts& counts, int sign, TimePoint now);
 
   std::map<ModelKey, KeyDemand> keys_;
-  std::map<NodeName, std::vector<wire::ModelWant>> last_reports_;
+  std::map<NodeName, std::vector<wire::ModelCallCounts>> last_reports_;
   TimePoint decayed_at_{};
 };
 
--- a/src/services/model_placer.cc
+++ b/src/services/model_placer.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "services/model_placer_rules.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::services {
 namespace {
@@ -46,7 +46,7 @@
     if (registry_.find(id) != nullptr) {
       return false;
     }
-    const bool answered = !engine.pending && engine.orders_taken;
+    const bool answered = !engine.pending && engine.accepted_orders;
     if (engine.loading && !answered) {
       orphaned_loads_[wire::replicaName(id)] = {engine.loading_mb, now + kMaxOrderDelay};
     }
@@ -61,11 +61,12 @@
   auto engine = engines_.begin();
   for (const auto& [id, record] : registry_.replicas()) {
     if (record.report.service == service.name && registry_.isEvacuated(record)) {
-      for (const wire::HeldModel& held : record.report.held) {
+      for (const wire::LoadedModel& held : record.report.held) {
         evacuated_models_.insert(held.model);
       }
     }
-    if (record.report.service == service.name && registry_.takesCalls(record) && !unreachable.contains(id)) {
+    if (record.report.service == service.name && registry_.acceptsCalls(record) &&
+        !unreachable.contains(id)) {
       // Both maps are sorted by id, so one pass merges them.
       while (engine != engines_.end() && engine->first < id) {
         ++engine;
@@ -78,7 +79,7 @@
   }
   const auto isCandidate = [&](const ReplicaId& id) {
     const ReplicaRecord* record = registry_.find(id);
-    return record != nullptr && record->report.service == service.name && registry_.takesCalls(*record) &&
+    return record != nullptr && record->report.service == service.name && registry_.acceptsCalls(*record) &&
            !unreachable.contains(id);
   };
   storeOf(service.name).keepIf(isCandidate, now);
@@ -157,7 +158,7 @@
 
 std::set<ModelPlacer::AdapterKey> ModelPlacer::adaptersOf(const ReplicaRecord& record, const Engine& engine) {
   std::set<AdapterKey> adapters = engine.adapters;
-  for (const wire::HeldModel& held : record.report.held) {
+  for (const wire::LoadedModel& held : record.report.held) {
     for (const std::string& adapter : held.adapters) {
       adapters.insert({held.model, adapter});
     }
@@ -168,7 +169,7 @@
 double ModelPlacer::usedMegabytes(const ReplicaRecord& record, const Engine& engine,
                                   const wire::EngineTraits& traits) const {
   std::set<ModelName> models = engine.models;
-  for (const wire::HeldModel& held : record.report.held) {
+  for (const wire::LoadedModel& held : record.report.held) {
     models.insert(held.model);
   }
   double used = engine.loading && !models.contains(*engine.loading) ? engine.loading_mb : 0;
@@ -219,7 +220,7 @@
     }
   };
   for (Candidate& candidate : candidates) {
-    for (const wire::HeldModel& held : candidate.record->report.held) {
+    for (const wire::LoadedModel& held : candidate.record->report.held) {
       add(held.model, candidate);
     }
     for (const auto& [model, adapter] : candidate.engine->adapters) {
--- a/src/services/model_placer.h
+++ b/src/services/model_placer.h
@@ -46,7 +46,7 @@
                      TimePoint now);
   /// Sets the slowness of replicas relative to others, by balance::loadKey() of their ids. Replicas that
   /// aren't listed run at full speed.
-  void takeSlowness(std::map<std::uint32_t, double> slowness) { slowness_ = std::move(slowness); }
+  void setSlowness(std::map<std::uint32_t, double> slowness) { slowness_ = std::move(slowness); }
   /// Time at which a model that no replica holds is expected to serve; nullopt if the time is unknown or a
   /// replica holds the model.
   std::optional<TimePoint> expectedAt(const wire::HostedService& service, const ModelName& model,
@@ -72,7 +72,7 @@
   };
   /// State of one replica that its reports don't contain.
   struct Engine {
-    std::optional<std::uint64_t> orders_taken;
+    std::optional<std::uint64_t> accepted_orders;
     std::optional<Pending> pending;
     std::optional<ModelName> loading;  ///< load in progress that no report shows yet
     double loading_mb = 0;
@@ -128,7 +128,7 @@
   struct Placement {
     std::optional<TimePoint> ready;  ///< expected time at which the model serves; nullopt: unknown
     UnplacedReason reason = UnplacedReason::None;
-    std::uint32_t near_replicas = 0;
+    std::uint32_t local_tier_replicas = 0;
   };
   struct UnplacedLog {
     TimePoint at{};
--- a/src/services/model_placer_models.cc
+++ b/src/services/model_placer_models.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "balance/load_key.h"
-#include "balance/uneven.h"
+#include "balance/slow_replica.h"
 #include "services/model_placer.h"
 #include "services/model_placer_rules.h"
 
@@ -92,7 +92,7 @@
 };
 
 StoreLoads& ModelPlacer::storeOf(const ServiceName& service) {
-  return stores_.try_emplace(service, settings_.switches.learned_store_width).first->second;
+  return stores_.try_emplace(service, settings_.switches.estimated_store_width).first->second;
 }
 
 void ModelPlacer::countCopies(const Candidates& candidates, TimePoint now) {
@@ -101,7 +101,7 @@
   served_.clear();
   for (const Candidate& candidate : candidates) {
     const Engine& engine = *candidate.engine;
-    for (const wire::HeldModel& held : candidate.record->report.held) {
+    for (const wire::LoadedModel& held : candidate.record->report.held) {
       if (engine.unloading != held.model) {
         ++counts[held.model.value];
       }
@@ -123,7 +123,7 @@
 
 double ModelPlacer::slownessOf(const ReplicaId& replica) const {
   const auto found = slowness_.find(balance::loadKey(replica.value));
-  return found == slowness_.end() ? 1 : balance::countedSlowness(found->second);
+  return found == slowness_.end() ? 1 : balance::effectiveSlowness(found->second);
 }
 
 ModelPlacer::Capacities ModelPlacer::lostCapacities(const Candidates& candidates) const {
@@ -133,7 +133,7 @@
   }
   for (const Candidate& candidate : candidates) {
     const double part = 1 - 1 / slownessOf(candidate.record->report.id);
-    for (const wire::HeldModel& held : candidate.record->report.held) {
+    for (const wire::LoadedModel& held : candidate.record->report.held) {
       if (part > 0 && candidate.engine->unloading != held.model) {
         lost[held.model] += part;
       }
@@ -244,7 +244,7 @@
     const auto placement = placeFromLocalTier(service, *item.model, candidates, local_weights, now);
     if (placement) {
       recordPlacement(service, item, *placement, max_retry_delay, now);
-    } else if (settings_.switches.near_weights_first) {
+    } else if (settings_.switches.local_weights_first) {
       store_requests.push_back(&item);
     } else {
       recordPlacement(service, item, placeFromStore(service, *item.model, candidates, forecast, now),
@@ -253,8 +253,8 @@
   }
   for (const PlacementRequest* item : store_requests) {
     Placement placement = placeFromStore(service, *item->model, candidates, forecast, now);
-    placement.near_replicas = static_cast<std::uint32_t>(local_weights.of(item->model->name).size());
-    if (placement.reason != UnplacedReason::None && placement.near_replicas > 0) {
+    placement.local_tier_replicas = static_cast<std::uint32_t>(local_weights.of(item->model->name).size());
+    if (placement.reason != UnplacedReason::None && placement.local_tier_replicas > 0) {
       placement.ready.reset();  // a replica with local weights may be free sooner, at an unknown time
     }
     recordPlacement(service, *item, placement, max_retry_delay, now);
@@ -407,7 +407,7 @@
                                                              TimePoint now) const {
   std::optional<Victim> least;
   double evictable_mb = 0;
-  for (const wire::HeldModel& held : candidate.record->report.held) {
+  for (const wire::LoadedModel& held : candidate.record->report.held) {
     const auto retention_value = retentionValue(service, held.model, now);
     const wire::HostedModel* known = modelNamed(held.model);
     if (!retention_value || known == nullptr || candidate.engine->unloading == held.model) {
--- a/src/services/model_placer_orders.cc
+++ b/src/services/model_placer_orders.cc
@@ -2,7 +2,7 @@
 #include <utility>
 
 #include "services/model_placer.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// The part of ModelPlacer that sends orders, at most one at a time to each replica, and processes their
 /// outcomes and the results of inspections.
@@ -34,7 +34,7 @@
                         const std::string& adapter, double megabytes, TimePoint now) {
   Engine& engine = *candidate.engine;
   const wire::ReplicaReport& report = candidate.record->report;
-  if (!engine.orders_taken || now - engine.inspected > kInspectionTtl) {
+  if (!engine.accepted_orders || now - engine.inspected > kInspectionTtl) {
     inspect(candidate, now);
     return;
   }
@@ -46,7 +46,7 @@
   effect.action = action;
   effect.model = model;
   effect.adapter = adapter;
-  effect.expected = *engine.orders_taken;
+  effect.expected = *engine.accepted_orders;
   effect.holder = settings_.holder;
   effect.fence = settings_.fence;
   engine.pending = Pending{number, effect, false, now};
@@ -106,11 +106,11 @@
   engine.pending.reset();
   const bool whole_model = order.adapter.empty();
   switch (outcome) {
-    case OrderOutcome::Taken:
+    case OrderOutcome::Accepted:
     case OrderOutcome::AlreadyHeld:
-      engine.orders_taken = order.expected + 1;
+      engine.accepted_orders = order.expected + 1;
       if (outcome == OrderOutcome::AlreadyHeld && order.action == OrderAction::Load) {
-        engine.orders_taken.reset();
+        engine.accepted_orders.reset();
         engine.not_before = now + kReportLag;
       }
       if (!whole_model && order.action == OrderAction::Load) {
@@ -125,7 +125,7 @@
       break;
     case OrderOutcome::Conflict:
     case OrderOutcome::Refused:
-      engine.orders_taken.reset();
+      engine.accepted_orders.reset();
       engine.not_before = now + kRetryAfterConflict;
       if (whole_model && order.action == OrderAction::Load) {
         forgetLoad(order.replica, engine, now);
@@ -137,8 +137,8 @@
     case OrderOutcome::Unanswered:
       // The replica may be executing the order or receive it late, so its memory stays accounted for until
       // the replica's state is known.
-      engine.orders_taken.reset();
-      engine.inspect_at = settings_.switches.prompt_doubts ? now : now + kDelayedInspection;
+      engine.accepted_orders.reset();
+      engine.inspect_at = settings_.switches.prompt_inspections ? now : now + kDelayedInspection;
       break;
   }
 }
@@ -158,8 +158,8 @@
     return;
   }
   engine.unanswered_inspections = 0;
-  const std::uint64_t born = wire::replicaBorn(found->first);
-  if (born != 0 && state->born != 0 && state->born != born) {
+  const std::uint64_t start_ms = wire::replicaStartMs(found->first);
+  if (start_ms != 0 && state->start_ms != 0 && state->start_ms != start_ms) {
     // The answer comes from another incarnation, whose order count and contents don't apply to this one.
     engine.not_before = now + kRetryAfterConflict;
     return;
@@ -199,12 +199,12 @@
 /// accepted another order since.
 void ModelPlacer::applyState(Engine& engine, const ReplicaState& state) {
   if (!state.busy) {
-    engine.orders_taken = state.orders_taken;
+    engine.accepted_orders = state.accepted_orders;
   }
   engine.models.clear();
   engine.adapters.clear();
-  for (const auto* list : {&state.held, &state.coming}) {
-    for (const wire::HeldModel& held : *list) {
+  for (const auto* list : {&state.held, &state.pending_adapters}) {
+    for (const wire::LoadedModel& held : *list) {
       engine.models.insert(held.model);
       for (const std::string& adapter : held.adapters) {
         engine.adapters.insert({held.model, adapter});
@@ -226,7 +226,7 @@
   const StoreLoads& store = storeOf(service.name);
   const KeyDemand demand = demand_.find({service.name, request.model->name, {}});
   effects_.emplace_back(ModelUnplacedEffect{service.name, request.model->name, placement.reason,
-                                            demand.waiting, request.urgency, placement.near_replicas,
+                                            demand.waiting, request.urgency, placement.local_tier_replicas,
                                             store.inFlight(), store.width()});
 }
 
--- a/src/services/model_placer_rules.h
+++ b/src/services/model_placer_rules.h
@@ -18,7 +18,7 @@
 
 inline bool holds(const ReplicaRecord& record, const ModelName& model) {
   return std::any_of(record.report.held.begin(), record.report.held.end(),
-                     [&model](const wire::HeldModel& held) { return held.model == model; });
+                     [&model](const wire::LoadedModel& held) { return held.model == model; });
 }
 
 inline const wire::HostedModel* findModel(const wire::EngineTraits& traits, const ModelName& name) {
--- a/src/services/nearest_weights.cc
+++ b/src/services/nearest_weights.cc
@@ -45,7 +45,7 @@
   nearest_tiers_.clear();
   for (const auto& [id, record] : registry_.replicas()) {
     ++replicas_scanned_;
-    if (!registry_.takesCalls(record)) {
+    if (!registry_.acceptsCalls(record)) {
       continue;
     }
     for (const ModelName& model : record.report.in_memory) {
--- a/src/services/placement_switches.h
+++ b/src/services/placement_switches.h
@@ -7,15 +7,15 @@
 struct PlacementSwitches {
   /// Limits concurrent loads from the weight store by its estimated width; if disabled, only the operator's
   /// rate limits them.
-  bool learned_store_width = true;
+  bool estimated_store_width = true;
   /// Places models whose weights are in a replica's memory or on its disk before models that load from the
   /// weight store; if disabled, models are placed by urgency alone.
-  bool near_weights_first = true;
+  bool local_weights_first = true;
   /// Reports to callers when a model that waits for the weight store is expected to serve; if disabled, only
   /// for loads in progress.
   bool expected_times = true;
   /// Inspects a replica immediately after an order to it got no answer; if disabled, after some seconds.
-  bool prompt_doubts = true;
+  bool prompt_inspections = true;
 };
 
 }  // namespace ferryrock::services
--- a/src/services/replica_choice.cc
+++ b/src/services/replica_choice.cc
@@ -50,7 +50,7 @@
       const std::uint64_t rank = mixBits(replica->name_hash ^ router_hash_);
       (replica->routed.zone == zone_ ? own : others).emplace_back(rank, replica);
     }
-    keepLowestRanked(others, kMostOfGroup - std::min(own.size(), kMaxFromOwnZone));
+    keepLowestRanked(others, kMaxPerGroup - std::min(own.size(), kMaxFromOwnZone));
     keepLowestRanked(own, kMaxFromOwnZone);
     add(own);
     add(others);
@@ -84,7 +84,7 @@
   }
   std::size_t looked_up = 0;
   const auto addInterest = [&](const auto& interest) {
-    if (++looked_up > kMostInterests) {
+    if (++looked_up > kMaxInterests) {
       return;
     }
     draw.addGroup({interest.service, interest.model, {}});
@@ -92,7 +92,7 @@
       draw.addGroup({interest.service, interest.model, interest.adapter});
     }
   };
-  for (const wire::ModelWant& counts : status.wants) {
+  for (const wire::ModelCallCounts& counts : status.model_calls) {
     addInterest(counts);
   }
   for (const wire::ModelInterest& interest : status.interests) {
--- a/src/services/replica_choice.h
+++ b/src/services/replica_choice.h
@@ -20,15 +20,15 @@
  public:
   explicit ReplicaChoice(const ReplicaIndex& index) : index_(index) {}
 
-  /// Sorted by id. Unknown names select nothing; names beyond kMostInterests are ignored.
+  /// Sorted by id. Unknown names select nothing; names beyond kMaxInterests are ignored.
   std::vector<const IndexedReplica*> choose(const wire::CallRouterStatus& status,
                                             const std::vector<ServiceName>& plain_services) const;
 
   /// Limits for one group, that is the replicas of one service, model or adapter.
   static constexpr std::size_t kMaxFromOwnZone = 6;
-  static constexpr std::size_t kMostOfGroup = 8;
+  static constexpr std::size_t kMaxPerGroup = 8;
   /// Maximum number of models and adapters looked up for one router.
-  static constexpr std::size_t kMostInterests = 128;
+  static constexpr std::size_t kMaxInterests = 128;
 
  private:
   class Draw;
--- a/src/services/replica_index.cc
+++ b/src/services/replica_index.cc
@@ -11,11 +11,11 @@
 
 ReplicaIndex::Changes ReplicaIndex::follow(ReplicaRegistry& registry) {
   Changes changes;
-  for (const ReplicaId& id : registry.takeTouched()) {
+  for (const ReplicaId& id : registry.takeChangedIds()) {
     const ReplicaRecord* record = registry.find(id);
     const auto known = replicas_.find(id);
     const bool took_calls = known != replicas_.end() && known->second.routed.accepting;
-    const bool takes_calls = record != nullptr && registry.takesCalls(*record);
+    const bool takes_calls = record != nullptr && registry.acceptsCalls(*record);
     if (took_calls && !takes_calls) {
       changes.closed.push_back(id);
     }
@@ -42,7 +42,7 @@
 
 std::vector<ModelKey> ReplicaIndex::keysOf(const wire::RoutedReplica& replica) {
   std::vector<ModelKey> keys{{replica.service, {}, {}}};
-  for (const wire::HeldModel& held : replica.held) {
+  for (const wire::LoadedModel& held : replica.held) {
     keys.push_back({replica.service, held.model, {}});
     for (const std::string& adapter : held.adapters) {
       keys.push_back({replica.service, held.model, adapter});
--- a/src/services/replica_orders.h
+++ b/src/services/replica_orders.h
@@ -57,13 +57,13 @@
   UnplacedReason reason = UnplacedReason::None;
   std::uint32_t waiting = 0;  ///< calls that wait for the model
   double urgency = 0;
-  std::uint32_t near_replicas = 0;  ///< replicas with its weights in memory or on disk
-  std::uint32_t store_loads = 0;    ///< loads from the weight store in progress
+  std::uint32_t local_tier_replicas = 0;  ///< replicas with its weights in memory or on disk
+  std::uint32_t store_loads = 0;          ///< loads from the weight store in progress
   double store_width = 0;
 };
 
 enum class OrderOutcome : std::uint8_t {
-  Taken,        ///< the replica is executing the order
+  Accepted,     ///< the replica is executing the order
   AlreadyHeld,  ///< the replica had nothing to do or is done already
   Conflict,     ///< the replica is executing another order, or the order count didn't match
   Refused,      ///< the fencing token is outdated, the replica is the wrong one, or the order is invalid
@@ -72,11 +72,11 @@
 
 /// State of a replica as returned by an inspection; a few hundred milliseconds old.
 struct ReplicaState {
-  std::uint64_t orders_taken = 0;
+  std::uint64_t accepted_orders = 0;
   bool busy = false;
-  std::vector<wire::HeldModel> held;
-  std::vector<wire::HeldModel> coming;  ///< adapters being loaded
-  std::uint64_t born = 0;               ///< start time of the replica in Unix milliseconds; 0: not reported
+  std::vector<wire::LoadedModel> held;
+  std::vector<wire::LoadedModel> pending_adapters;  ///< adapters being loaded
+  std::uint64_t start_ms = 0;  ///< start time of the replica in Unix milliseconds; 0: not reported
 };
 
 }  // namespace ferryrock::services
--- a/src/services/replica_registry.cc
+++ b/src/services/replica_registry.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::services {
 namespace {
@@ -28,7 +28,7 @@
 }
 
 bool listsAdapter(const wire::ReplicaReport& report, const ModelName& model, const std::string& adapter) {
-  return std::any_of(report.held.begin(), report.held.end(), [&](const wire::HeldModel& held) {
+  return std::any_of(report.held.begin(), report.held.end(), [&](const wire::LoadedModel& held) {
     return held.model == model &&
            std::find(held.adapters.begin(), held.adapters.end(), adapter) != held.adapters.end();
   });
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-std::vector<wire::HeldModel> ReplicaRecord::usable() const {
-  std::vector<wire::HeldModel> held;
-  for (const wire::HeldModel& model : report.held) {
+std::vector<wire::LoadedModel> ReplicaRecord::usable() const {
+  std::vector<wire::LoadedModel> held;
+  for (const wire::LoadedModel& model : report.held) {
     if (withdrawn_models.contains(model.model)) {
       continue;
     }
@@ -81,7 +81,7 @@
   }
   std::erase_if(record.withdrawn_models, [&report](const auto& item) {
     return std::none_of(report.held.begin(), report.held.end(),
-                        [&item](const wire::HeldModel& held) { return held.model == item.first; });
+                        [&item](const wire::LoadedModel& held) { return held.model == item.first; });
   });
   recordChange(record);
   if (newly_leaving) {
@@ -108,20 +108,20 @@
 
 ReplicaId ReplicaRegistry::currentIncarnation(const ReplicaId& id) const {
   const auto incarnation = incarnations_.find(wire::replicaName(id));
-  const bool is_bare_name = wire::replicaBorn(id) == 0;
+  const bool is_bare_name = wire::replicaStartMs(id) == 0;
   return is_bare_name && incarnation != incarnations_.end() ? incarnation->second.id : id;
 }
 
 bool ReplicaRegistry::hasNewerIncarnation(const ReplicaId& id) const {
   const auto incarnation = incarnations_.find(wire::replicaName(id));
   return incarnation != incarnations_.end() &&
-         wire::replicaBorn(incarnation->second.id) > wire::replicaBorn(id);
+         wire::replicaStartMs(incarnation->second.id) > wire::replicaStartMs(id);
 }
 
 /// Records the replica's current incarnation. The former one is removed with the first report of its
 /// successor, which inherits neither its models nor its report sequence nor its leave notices.
 void ReplicaRegistry::recordIncarnation(const ReplicaId& id, TimePoint now) {
-  if (wire::replicaBorn(id) == 0) {
+  if (wire::replicaStartMs(id) == 0) {
     return;
   }
   const std::string name = wire::replicaName(id);
@@ -139,7 +139,7 @@
   }
 }
 
-void ReplicaRegistry::recordHeartbeat(const wire::ReplicaAlive& alive, TimePoint now) {
+void ReplicaRegistry::recordHeartbeat(const wire::UnchangedReport& alive, TimePoint now) {
   ReplicaRecord* record = findMutable(alive.id);
   if (record != nullptr && alive.sequence > record->report.sequence) {
     record->report.sequence = alive.sequence;
@@ -267,7 +267,7 @@
     return;
   }
   record->assumed_adapters.erase({model, adapter});
-  for (wire::HeldModel& held : record->report.held) {
+  for (wire::LoadedModel& held : record->report.held) {
     if (held.model == model) {
       std::erase(held.adapters, adapter);
     }
@@ -319,12 +319,12 @@
 
 void ReplicaRegistry::recordChange(ReplicaRecord& record) {
   record.last_change = ++changes_;
-  touched_.insert(record.report.id);
+  changed_ids_.insert(record.report.id);
 }
 
 void ReplicaRegistry::remove(std::map<ReplicaId, ReplicaRecord>::iterator replica, TimePoint now) {
   removed_at_[replica->first] = now;
-  touched_.insert(replica->first);
+  changed_ids_.insert(replica->first);
   removals_.push_back({++changes_, replica->first});
   removeFromAddressIndex(replica->second);
   replicas_.erase(replica);
--- a/src/services/replica_registry.h
+++ b/src/services/replica_registry.h
@@ -31,7 +31,7 @@
 
   /// Models and adapters that routers may use: the reported ones without withdrawn models, plus assumed
   /// adapters.
-  std::vector<wire::HeldModel> usable() const;
+  std::vector<wire::LoadedModel> usable() const;
 };
 
 enum class ReportOutcome : std::uint8_t {
@@ -53,7 +53,7 @@
   /// incarnation; returns the id itself if it has a start time or no incarnation is known.
   ReplicaId currentIncarnation(const ReplicaId& id) const;
   /// Records an unchanged report of a known replica; others are ignored.
-  void recordHeartbeat(const wire::ReplicaAlive& alive, TimePoint now);
+  void recordHeartbeat(const wire::UnchangedReport& alive, TimePoint now);
   /// Marks a known replica as leaving until its incarnation ends; unknown replicas are ignored.
   void markLeaving(const ReplicaId& id);
   /// Sets the limit of a known replica over all routers; nullopt: the limit has ended. Unknown replicas are
@@ -65,7 +65,7 @@
   void setEvacuated(const std::set<ZoneName>& zones);
   bool isEvacuated(const ReplicaRecord& record) const { return evacuated_.contains(record.report.zone); }
   /// Returns false for a replica that is leaving or whose zone is evacuated.
-  bool takesCalls(const ReplicaRecord& record) const { return !record.leaving && !isEvacuated(record); }
+  bool acceptsCalls(const ReplicaRecord& record) const { return !record.leaving && !isEvacuated(record); }
   /// Removes replicas whose last contact is more than `silence` ago, and assumed adapters and withdrawn
   /// models that no report has confirmed within 4 s.
   void expire(TimePoint now, Duration silence);
@@ -84,7 +84,7 @@
   /// Change count; rises with every change that concerns routers.
   std::uint64_t changes() const { return changes_; }
   /// Returns and clears the replicas that changed for routers or were removed since the last call.
-  std::set<ReplicaId> takeTouched() { return std::exchange(touched_, {}); }
+  std::set<ReplicaId> takeChangedIds() { return std::exchange(changed_ids_, {}); }
   /// Appends the replicas removed after the given change count. Returns false if the retained removals don't
   /// reach back that far.
   bool removedSince(std::uint64_t change, std::vector<ReplicaId>& removed) const;
@@ -123,7 +123,7 @@
   std::deque<Removal> removals_;                     ///< oldest first
   std::uint64_t removals_complete_from_ = 0;         ///< removals_ is complete for changes after this count
   std::uint64_t changes_ = 0;
-  std::set<ReplicaId> touched_;
+  std::set<ReplicaId> changed_ids_;
 };
 
 }  // namespace ferryrock::services
--- a/src/services/router_tables.cc
+++ b/src/services/router_tables.cc
@@ -67,8 +67,8 @@
 
 void RouterTables::setAwaitedModels(RouterIterator router, const wire::CallRouterStatus& status) {
   std::set<ModelKey> awaited_models;
-  for (const wire::ModelWant& want : status.wants) {
-    if (want.waiting > 0 && awaited_models.size() < ReplicaChoice::kMostInterests) {
+  for (const wire::ModelCallCounts& want : status.model_calls) {
+    if (want.waiting > 0 && awaited_models.size() < ReplicaChoice::kMaxInterests) {
       awaited_models.insert({want.service, want.model, {}});
       awaited_models.insert({want.service, want.model, want.adapter});
     }
--- a/src/services/service_control.cc
+++ b/src/services/service_control.cc
@@ -21,7 +21,7 @@
 
 CellMembershipSettings membershipSettings(const ServiceControlSettings& settings) {
   CellMembershipSettings cell_settings;
-  cell_settings.target_voters = 2 * std::size_t{settings.losses_borne} + 1;
+  cell_settings.target_voters = 2 * std::size_t{settings.tolerated_losses} + 1;
   return cell_settings;
 }
 
@@ -42,7 +42,7 @@
       self_(settings.control.log.node),
       node_(control::createControlNode(nodeSettings(settings.control), std::move(recovered),
                                        std::move(random), time_source)),
-      keeper_(membershipSettings(settings), time_source.monotonicTime()),
+      membership_manager_(membershipSettings(settings), time_source.monotonicTime()),
       known_nodes_(settings.seeds.begin(), settings.seeds.end()),
       next_hello_(time_source.monotonicTime()),
       next_expiry_(time_source.monotonicTime() + kExpiryInterval),
@@ -57,7 +57,7 @@
   if (hello.node != from) {
     return;
   }
-  keeper_.onHello(hello, now);
+  membership_manager_.onHello(hello, now);
   applyContacts(from, hello, now);
   known_nodes_.insert(hello.node);
   if (consensus::findMember(node_->log().membership(), hello.id) == nullptr) {
@@ -73,7 +73,7 @@
   for (const wire::ReplicaReport& report : reports.reports) {
     acceptReport(report, now);
   }
-  for (const wire::ReplicaAlive& alive : reports.alive) {
+  for (const wire::UnchangedReport& alive : reports.alive) {
     registry_.recordHeartbeat(alive, now);
   }
 }
@@ -115,7 +115,7 @@
     return;
   }
   if (leader_) {
-    leader_->demand.accept(status.router, status.wants, now);
+    leader_->demand.accept(status.router, status.model_calls, now);
   }
   send(from, wire::MemberList{memberNodes(), node_->log().leader(), toMilliseconds(memberStatusInterval())});
   offerCatalog(status, now);
@@ -227,7 +227,7 @@
   hello.node = self_;
   hello.address = self_.value;
   hello.http = settings_.http;
-  hello.has_leader = hearsLeader();
+  hello.has_leader = hasLeaderContact();
   std::vector<wire::RouterContact> contacts;
   if (leader_ && memberStatusInterval() > Duration::zero()) {
     contacts = directory_.contacts(now);
@@ -259,7 +259,7 @@
   return leader == nullptr ? std::string() : leader->http;
 }
 
-void ServiceControlImpl::answer(QuestionNumber request_number, ResultCode code, std::string detail,
+void ServiceControlImpl::answer(ControlRequestNumber request_number, ResultCode code, std::string detail,
                                 std::string body) {
   effects_.emplace_back(
       AnswerEffect{request_number, code, std::move(detail), std::move(body), leaderHttp(), {}});
@@ -297,8 +297,8 @@
       leader_->tables.keepRouters(directory_.routers());
       leader_->receipts.keepRouters(directory_.routers());
       leader_->quotas.keepRouters(directory_.routers());
-      leader_->quotas.followRouters(directory_.routers(),
-                                    now - started_at_ >= settings_.quota_tolerance.window);
+      leader_->quotas.updateRouterHistory(directory_.routers(),
+                                          now - started_at_ >= settings_.quota_tolerance.window);
     }
   }
   expireForwarded(now);
@@ -383,11 +383,11 @@
     placer.switches = settings_.placement;
     // An earlier leader's lease may end up to election_timeout_min after this election, see elect_at_start.
     placer.first_order = now + settings_.order_lease + settings_.control.log.election_timeout_min;
-    leader_.emplace(term, placer, registry_, index_, settings_.quota_tolerance, settings_.router_out_of_touch,
-                    now);
+    leader_.emplace(term, placer, registry_, index_, settings_.quota_tolerance,
+                    settings_.router_contact_timeout, now);
     registry_.clearLimits();
     leader_->push_to_all = isLargeFleet();  // announces the new leader to the routers at once
-    keeper_.onLeadership(now);
+    membership_manager_.onLeadership(now);
   }
 }
 
--- a/src/services/service_control.h
+++ b/src/services/service_control.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "control/control_node.h"
-#include "services/catalog_spread.h"
+#include "services/catalog_rollout.h"
 #include "services/limit_ledger.h"
 #include "services/placement_switches.h"
 #include "services/replica_orders.h"
@@ -25,37 +25,37 @@
   std::vector<NodeName> seeds;       ///< nodes to contact before any member is known
   std::vector<ZoneName> zones;       ///< zones that may be evacuated; empty: the zones of known replicas
   /// Number of members whose disks may be lost at once without loss of acknowledged changes.
-  std::uint32_t losses_borne = 1;
+  std::uint32_t tolerated_losses = 1;
   Duration replica_heartbeat = std::chrono::milliseconds(1000);
   /// A router without contact for longer than this is out of contact: leave notices don't wait for it.
-  Duration router_out_of_touch = std::chrono::milliseconds(3000);
+  Duration router_contact_timeout = std::chrono::milliseconds(3000);
   /// A new leader sends no orders to replicas until this time has passed, as an earlier leader may still send
   /// some.
   Duration order_lease = std::chrono::milliseconds(3000);
   PlacementSwitches placement;
   /// Publish the load of replicas over all routers to the routers.
-  bool tells_loads = false;
+  bool publishes_loads = false;
   tenancy::QuotaTolerance quota_tolerance;
   /// A replica without a report for longer than this is removed.
   Duration replica_silence = std::chrono::seconds(6);
 };
 
 /// Number of a request from the shell, which the response repeats.
-using QuestionNumber = Number<struct QuestionNumberTag>;
+using ControlRequestNumber = Number<struct QuestionNumberTag>;
 
 /// Effect: the response to a request; each request gets exactly one.
 struct AnswerEffect {
-  QuestionNumber question;
+  ControlRequestNumber request_number;
   ResultCode code = ResultCode::Ok;
   std::string detail;
   std::string body;    ///< for readCatalog(): the catalog exactly as the operator submitted it
   std::string leader;  ///< HTTP address of the leader; empty: unknown
   /// For replica reports: HTTP address of the member that gets the next reports; empty: unchanged.
-  std::string report_next;
+  std::string next_report_address;
 };
 
 using Effect = std::variant<wire::SendEffect, consensus::PersistEffect, OrderReplicaEffect,
-                            InspectReplicaEffect, ModelUnplacedEffect, AnswerEffect, CatalogSpreadEffect>;
+                            InspectReplicaEffect, ModelUnplacedEffect, AnswerEffect, CatalogRolloutEffect>;
 using Effects = std::vector<Effect>;
 
 /// State of a member for metrics and status pages.
@@ -102,20 +102,20 @@
   /// Replaces the catalog. The response is Ok once the catalog, or a higher version, is committed on enough
   /// disks; InvalidCatalog at once; NotLeader with the leader's address; or NoQuorum, which leaves the
   /// outcome unknown.
-  virtual Effects replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog,
+  virtual Effects replaceCatalog(ControlRequestNumber request_number, wire::ServiceCatalog catalog,
                                  std::string source, TimePoint now) = 0;
   /// Linearizable read of the catalog, from a state that a quorum confirmed after the request. Otherwise the
   /// response is NotLeader, NoQuorum or NoCatalog.
-  virtual Effects readCatalog(QuestionNumber request_number, TimePoint now) = 0;
+  virtual Effects readCatalog(ControlRequestNumber request_number, TimePoint now) = 0;
   /// Takes the zone's replicas out of use, or returns them to use. Responses as for replaceCatalog(), and
   /// UnknownZone. Routers in contact stop sending new calls there soon after; calls in flight continue.
-  virtual Effects evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
+  virtual Effects evacuateZone(ControlRequestNumber request_number, const ZoneName& zone, bool evacuated,
                                TimePoint now) = 0;
   /// Evacuated zones according to this member's replicated state, which may lag behind the leader's.
   virtual std::vector<ZoneName> evacuatedZones() const = 0;
   /// Applies a replica's report. A heartbeat gets its response at once. A leave notice gets Ok once it binds
   /// every router in contact, or NotBoundEverywhere at its deadline.
-  virtual Effects onReport(QuestionNumber request_number, const wire::ReplicaReport& report,
+  virtual Effects onReport(ControlRequestNumber request_number, const wire::ReplicaReport& report,
                            TimePoint now) = 0;
 
   virtual Effects onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) = 0;
--- a/src/services/service_control_catalog.cc
+++ b/src/services/service_control_catalog.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Effects ServiceControlImpl::replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog,
+Effects ServiceControlImpl::replaceCatalog(ControlRequestNumber request_number, wire::ServiceCatalog catalog,
                                            std::string source, TimePoint now) {
   try {
     checkCatalog(catalog);
@@ -33,8 +33,8 @@
   return finish(now);
 }
 
-void ServiceControlImpl::onStateChanged(QuestionNumber request_number, const wire::CommandResult& result,
-                                        TimePoint now) {
+void ServiceControlImpl::onStateChanged(ControlRequestNumber request_number,
+                                        const wire::CommandResult& result, TimePoint now) {
   if (result.code == ResultCode::Ok) {
     deferAcknowledgement(request_number, now);
   } else {
@@ -42,7 +42,7 @@
   }
 }
 
-void ServiceControlImpl::deferAcknowledgement(QuestionNumber request_number, TimePoint now) {
+void ServiceControlImpl::deferAcknowledgement(ControlRequestNumber request_number, TimePoint now) {
   pending_acknowledgements_.push_back({request_number, now + kAcknowledgementTimeout});
 }
 
@@ -52,7 +52,7 @@
 /// either after the entry to be acknowledged or before this leader's term, so a majority holds both.
 bool ServiceControlImpl::onEnoughDisks() const {
   const std::size_t majority = consensus::commitQuorum(node_->log().membership());
-  return leader_ && !leader_->membership_change_open && majority > settings_.losses_borne;
+  return leader_ && !leader_->membership_change_open && majority > settings_.tolerated_losses;
 }
 
 void ServiceControlImpl::checkAcknowledgements(TimePoint now) {
@@ -62,7 +62,7 @@
       answer(pending.request_number, ResultCode::Ok);
     } else if (now >= pending.deadline) {
       answer(pending.request_number, ResultCode::NoQuorum,
-             "the cell has too few voters to tolerate " + std::to_string(settings_.losses_borne) +
+             "the cell has too few voters to tolerate " + std::to_string(settings_.tolerated_losses) +
                  " disk losses, or a membership change is pending");
     }
     return enough || now >= pending.deadline;
@@ -78,7 +78,7 @@
   }
 }
 
-Effects ServiceControlImpl::readCatalog(QuestionNumber request_number, TimePoint now) {
+Effects ServiceControlImpl::readCatalog(ControlRequestNumber request_number, TimePoint now) {
   if (node_->leads()) {
     confirmRead(CatalogRead{request_number}, now);
   } else {
@@ -88,7 +88,7 @@
   return finish(now);
 }
 
-void ServiceControlImpl::onCatalogRead(QuestionNumber request_number, bool confirmed) {
+void ServiceControlImpl::onCatalogRead(ControlRequestNumber request_number, bool confirmed) {
   if (!confirmed) {
     answer(request_number, ResultCode::NoQuorum, "leadership was lost before the read was confirmed");
   } else if (node_->hosted().catalog().version == CatalogVersion{}) {
--- a/src/services/service_control_crashes.cc
+++ b/src/services/service_control_crashes.cc
@@ -59,7 +59,7 @@
 }
 
 Effects ServiceControlImpl::releaseCall(const wire::CallFingerprint& call, TimePoint now) {
-  if (crashes_.noteAnswer(call)) {
+  if (crashes_.recordAnswer(call)) {
     notifyRouters({crashes_.record(call, now)}, now);
   }
   return finish(now);
--- a/src/services/service_control_impl.h
+++ b/src/services/service_control_impl.h
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "balance/load_tally.h"
+#include "balance/fleet_load_aggregator.h"
 #include "quarantine/crash_ledger.h"
-#include "services/cell_keeper.h"
+#include "services/cell_membership_manager.h"
 #include "services/leave_notices.h"
 #include "services/limit_ledger.h"
 #include "services/model_demand.h"
@@ -43,13 +43,14 @@
   Effects tick(TimePoint now) override;
   TimePoint nextDeadline() const override;
   Effects onPersisted(std::uint64_t sequence, TimePoint now) override;
-  Effects replaceCatalog(QuestionNumber request_number, wire::ServiceCatalog catalog, std::string source,
-                         TimePoint now) override;
-  Effects readCatalog(QuestionNumber request_number, TimePoint now) override;
-  Effects evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
+  Effects replaceCatalog(ControlRequestNumber request_number, wire::ServiceCatalog catalog,
+                         std::string source, TimePoint now) override;
+  Effects readCatalog(ControlRequestNumber request_number, TimePoint now) override;
+  Effects evacuateZone(ControlRequestNumber request_number, const ZoneName& zone, bool evacuated,
                        TimePoint now) override;
   std::vector<ZoneName> evacuatedZones() const override;
-  Effects onReport(QuestionNumber request_number, const wire::ReplicaReport& report, TimePoint now) override;
+  Effects onReport(ControlRequestNumber request_number, const wire::ReplicaReport& report,
+                   TimePoint now) override;
   Effects onOrderDone(OrderNumber number, OrderOutcome outcome, TimePoint now) override;
   Effects onInspected(OrderNumber number, const std::optional<ReplicaState>& state, TimePoint now) override;
   std::vector<SuspectedCall> suspectedCalls(TimePoint now) const override;
@@ -65,7 +66,7 @@
  private:
   // Purposes of proposals and quorum reads.
   struct CatalogProposal {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
   };
   struct LeavingProposal {
     ReplicaId replica;
@@ -75,16 +76,16 @@
     wire::CallFingerprint call;
   };
   struct EvacuationProposal {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
   };
   using ProposalPurpose = std::variant<CatalogProposal, LeavingProposal, MembershipProposal,
                                        QuarantineProposal, EvacuationProposal>;
   struct CatalogRead {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
   };
   /// The requested state is in force already: a catalog at least as new, or the zone's state.
   struct StateInForce {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
   };
   struct NoticeRead {};
   using ReadPurpose = std::variant<CatalogRead, StateInForce, NoticeRead>;
@@ -92,12 +93,12 @@
   /// A pending response to a catalog replacement or an evacuation that is committed, but not yet on enough
   /// disks.
   struct PendingAcknowledgement {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
     TimePoint deadline{};
   };
   /// A leave notice that was forwarded to the leader.
   struct ForwardedNotice {
-    QuestionNumber request_number;
+    ControlRequestNumber request_number;
     TimePoint deadline{};
   };
   /// A write that hasn't been confirmed as synced.
@@ -109,12 +110,12 @@
   struct LeaderState {
     LeaderState(Term own_term, const ModelPlacerSettings& placer_settings, ReplicaRegistry& registry,
                 const ReplicaIndex& index, const tenancy::QuotaTolerance& quota_tolerance,
-                Duration router_out_of_touch, TimePoint now)
+                Duration router_contact_timeout, TimePoint now)
         : term(own_term),
           feed(own_term, registry),
           tables(index),
           placer(placer_settings, registry, demand),
-          rollout(router_out_of_touch),
+          rollout(router_contact_timeout),
           quotas(quota_tolerance, now),
           since(now) {}
     Term term;
@@ -122,7 +123,7 @@
     RouterTables tables;             ///< for routers with subscriptions
     bool has_subscriptions = false;  ///< the fleet is too large to send each router all replicas
     ModelDemand demand;
-    balance::LoadTally loads;
+    balance::FleetLoadAggregator loads;
     ModelPlacer placer;
     UpdateLedger updates;
     CatalogRollout rollout;
@@ -174,9 +175,10 @@
   void send(const NodeName& to, wire::Message message);
   void sendHello(TimePoint now);
   bool isMember() const;
-  bool hearsLeader() const { return node_->leads() || !node_->log().leader().empty(); }
+  bool hasLeaderContact() const { return node_->leads() || !node_->log().leader().empty(); }
   std::string leaderHttp() const;
-  void answer(QuestionNumber request_number, ResultCode code, std::string detail = {}, std::string body = {});
+  void answer(ControlRequestNumber request_number, ResultCode code, std::string detail = {},
+              std::string body = {});
   Effects finish(TimePoint now);
   void updateLeadership(TimePoint now);
   void transferLeadershipIfDiskIsSlow(TimePoint now);
@@ -185,9 +187,9 @@
   void confirmRead(ReadPurpose purpose, TimePoint now);
 
   // service_control_catalog.cc
-  void onStateChanged(QuestionNumber request_number, const wire::CommandResult& result, TimePoint now);
-  void onCatalogRead(QuestionNumber request_number, bool confirmed);
-  void deferAcknowledgement(QuestionNumber request_number, TimePoint now);
+  void onStateChanged(ControlRequestNumber request_number, const wire::CommandResult& result, TimePoint now);
+  void onCatalogRead(ControlRequestNumber request_number, bool confirmed);
+  void deferAcknowledgement(ControlRequestNumber request_number, TimePoint now);
   void checkAcknowledgements(TimePoint now);
   void offerCatalog(const wire::CallRouterStatus& status, TimePoint now);
   bool onEnoughDisks() const;
@@ -248,7 +250,7 @@
   std::size_t sendUpdate(const wire::CallRouterStatus& status, TimePoint now);
   /// Returns the loads of all replicas if the router is due for them.
   std::optional<std::vector<wire::ReplicaLoad>> loadsFor(const NodeName& router, TimePoint now);
-  std::vector<wire::ComingModel> expectedLoadsFor(const wire::CallRouterStatus& status, TimePoint now);
+  std::vector<wire::ExpectedModelLoad> expectedLoadsFor(const wire::CallRouterStatus& status, TimePoint now);
   bool awaitsConfirmation(const wire::CallRouterStatus& status) const;
   bool hasPendingChanges() const;
   bool hasQueuedUpdates() const;
@@ -274,7 +276,7 @@
   std::unique_ptr<control::ControlNode> node_;
   ReplicaRegistry registry_;
   RouterDirectory directory_;
-  CellKeeper keeper_;
+  CellMembershipManager membership_manager_;
   LeaveNotices notices_;
   std::optional<LeaderState> leader_;
   std::set<NodeName> known_nodes_;
--- a/src/services/service_control_leader.cc
+++ b/src/services/service_control_leader.cc
@@ -60,7 +60,7 @@
   if (leader_->proof_requests.empty() || !node_->log().hasLease(now)) {
     return;
   }
-  const auto followed = node_->log().followedAt(now);
+  const auto followed = node_->log().leadershipConfirmedAt(now);
   if (!followed) {
     return;
   }
@@ -127,10 +127,10 @@
   }
   leader_->next_plan = now + std::max(kPlanInterval, minPlanInterval());
   leader_->last_plan = now;
-  leader_->demand.fade(now);
+  leader_->demand.decay(now);
   const std::set<ReplicaId> unreachable = directory_.unreachable(now);
-  if (settings_.tells_loads) {
-    leader_->placer.takeSlowness(leader_->loads.slowness(now));
+  if (settings_.publishes_loads) {
+    leader_->placer.setSlowness(leader_->loads.slowness(now));
   }
   for (PlacerEffect& effect : leader_->placer.plan(node_->hosted().catalog(), unreachable, now)) {
     std::visit([this](auto& typed) { effects_.emplace_back(std::move(typed)); }, effect);
@@ -141,7 +141,8 @@
   if (leader_->membership_change_open || now < leader_->next_membership_change) {
     return;
   }
-  const auto change = keeper_.nextChange(node_->log().membership(), settings_.control.log.id, now);
+  const auto change =
+      membership_manager_.nextChange(node_->log().membership(), settings_.control.log.id, now);
   if (!change) {
     return;
   }
--- a/src/services/service_control_replicas.cc
+++ b/src/services/service_control_replicas.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Effects ServiceControlImpl::onReport(QuestionNumber request_number,
+Effects ServiceControlImpl::onReport(ControlRequestNumber request_number,
                                      const wire::ReplicaReport& report_or_notice, TimePoint now) {
   const wire::ReplicaReport report = withCurrentIncarnation(report_or_notice);
   const ReportOutcome outcome = acceptReport(report, now);
@@ -27,7 +27,7 @@
       flushRelay(now);
     }
   }
-  if (!hearsLeader()) {
+  if (!hasLeaderContact()) {
     // The report was applied above nevertheless, so that the next leader's first tables contain the replica.
     answer(request_number, ResultCode::NoQuorum, "this member has no contact with a leader");
   } else if (!report.leaving) {
@@ -56,7 +56,7 @@
   if (!node_->leads()) {
     return settings_.http;
   }
-  std::vector<std::string> members = keeper_.servingMembers(node_->log().membership(), now);
+  std::vector<std::string> members = membership_manager_.servingMembers(node_->log().membership(), now);
   if (members.empty()) {
     members.push_back(settings_.http);
   }
@@ -138,7 +138,7 @@
 
 void ServiceControlImpl::answerNotice(const LeaveNotice& notice, bool bound, std::string detail) {
   if (notice.origin.local_request) {
-    answer(QuestionNumber{*notice.origin.local_request},
+    answer(ControlRequestNumber{*notice.origin.local_request},
            bound ? ResultCode::Ok : ResultCode::NotBoundEverywhere, std::move(detail));
   } else {
     send(notice.origin.member, wire::LeaveReply{notice.origin.number, bound});
@@ -216,7 +216,7 @@
 /// A leave notice doesn't wait for a router that is out of contact.
 bool ServiceControlImpl::holdsOrOutOfTouch(const RouterRecord& record, LogIndex revision,
                                            TimePoint now) const {
-  return now - record.last_contact > settings_.router_out_of_touch ||
+  return now - record.last_contact > settings_.router_contact_timeout ||
          leader_->feed.holds(record.status, revision);
 }
 
@@ -238,7 +238,7 @@
     return false;
   }
   const TimePoint last_contact = std::max(record->second.last_contact, leader_->since);
-  return now - last_contact <= settings_.router_out_of_touch;
+  return now - last_contact <= settings_.router_contact_timeout;
 }
 
 void ServiceControlImpl::expireForwarded(TimePoint now) {
--- a/src/services/service_control_subscriptions.cc
+++ b/src/services/service_control_subscriptions.cc
@@ -91,10 +91,11 @@
 /// Returns true if a call waits for a model that needs placement. For a subscribed router, a model that some
 /// replica has loaded needs none: its next table lists that replica.
 bool ServiceControlImpl::needsPlan(const wire::CallRouterStatus& status) const {
-  return std::any_of(status.wants.begin(), status.wants.end(), [&](const wire::ModelWant& want) {
-    const bool held = !index_.find({want.service, want.model, want.adapter}).empty();
-    return want.waiting > 0 && !(subscribes(status) && held);
-  });
+  return std::any_of(status.model_calls.begin(), status.model_calls.end(),
+                     [&](const wire::ModelCallCounts& want) {
+                       const bool held = !index_.find({want.service, want.model, want.adapter}).empty();
+                       return want.waiting > 0 && !(subscribes(status) && held);
+                     });
 }
 
 /// Adds the leader's list of routers to the hello for a member that receives statuses too rarely to offer
@@ -107,8 +108,8 @@
     return;
   }
   hello.contacts_digest = wire::contactsDigest(contacts);
-  const wire::MemberHello* theirs = keeper_.helloOf(node);
-  if (theirs != nullptr && theirs->readsContacts() && theirs->contacts_digest != hello.contacts_digest) {
+  const wire::MemberHello* theirs = membership_manager_.helloOf(node);
+  if (theirs != nullptr && theirs->supportsContacts() && theirs->contacts_digest != hello.contacts_digest) {
     hello.contacts = contacts;
   }
 }
--- a/src/services/service_control_updates.cc
+++ b/src/services/service_control_updates.cc
@@ -38,14 +38,14 @@
 constexpr Duration kMaxLoadsInterval = std::chrono::seconds(2);
 
 bool waitsForModel(const wire::CallRouterStatus& status) {
-  return std::any_of(status.wants.begin(), status.wants.end(),
-                     [](const wire::ModelWant& want) { return want.waiting > 0; });
+  return std::any_of(status.model_calls.begin(), status.model_calls.end(),
+                     [](const wire::ModelCallCounts& want) { return want.waiting > 0; });
 }
 
 }  // namespace
 
 void ServiceControlImpl::updateRouter(const wire::CallRouterStatus& status, TimePoint now) {
-  leader_->demand.accept(status.router, status.wants, now);
+  leader_->demand.accept(status.router, status.model_calls, now);
   if (subscribes(status)) {
     leader_->tables.accept(status, now);
   } else {
@@ -54,7 +54,7 @@
   if (needsPlan(status)) {
     expeditePlan(now);
   }
-  if (status.wants_proof) {
+  if (status.needs_catalog_proof) {
     leader_->proof_requests.add(status.router, status.incarnation, now);
   }
   if (!needsUpdate(status, now)) {
@@ -94,8 +94,8 @@
   update.status_interval_ms = toMilliseconds(leaderStatusInterval());
   update.coming = expectedLoadsFor(status, now);
   update.limited_tenants = leader_->quotas.limited();
-  update.grants_limits = true;
-  if (const auto followed = node_->log().followedAt(now)) {
+  update.grants_limit_credit = true;
+  if (const auto followed = node_->log().leadershipConfirmedAt(now)) {
     update.proved = leader_->receipts.provedBy(status.router, *followed);
   }
   update.loads = loadsFor(status.router, now);
@@ -108,7 +108,7 @@
 std::optional<std::vector<wire::ReplicaLoad>> ServiceControlImpl::loadsFor(const NodeName& router,
                                                                            TimePoint now) {
   const Duration since = now - leader_->updates.loadsSent(router);
-  if (!settings_.tells_loads || since < kLoadsInterval) {
+  if (!settings_.publishes_loads || since < kLoadsInterval) {
     return std::nullopt;
   }
   std::vector<wire::ReplicaLoad> loads = leader_->loads.loads(now);
@@ -119,10 +119,10 @@
 }
 
 /// Returns the models that the router's calls wait for and that are being loaded, with the expected time.
-std::vector<wire::ComingModel> ServiceControlImpl::expectedLoadsFor(const wire::CallRouterStatus& status,
-                                                                    TimePoint now) {
-  std::vector<wire::ComingModel> coming;
-  for (const wire::ModelWant& want : status.wants) {
+std::vector<wire::ExpectedModelLoad> ServiceControlImpl::expectedLoadsFor(
+    const wire::CallRouterStatus& status, TimePoint now) {
+  std::vector<wire::ExpectedModelLoad> coming;
+  for (const wire::ModelCallCounts& want : status.model_calls) {
     if (want.waiting == 0) {
       continue;
     }
--- a/src/services/service_control_zones.cc
+++ b/src/services/service_control_zones.cc
@@ -8,8 +8,8 @@
 /// routers receive the zone's replicas as closed with the next update.
 namespace ferryrock::services {
 
-Effects ServiceControlImpl::evacuateZone(QuestionNumber request_number, const ZoneName& zone, bool evacuated,
-                                         TimePoint now) {
+Effects ServiceControlImpl::evacuateZone(ControlRequestNumber request_number, const ZoneName& zone,
+                                         bool evacuated, TimePoint now) {
   const bool held = node_->hosted().evacuated().contains(zone);
   if (!isKnownZone(zone)) {
     constexpr std::size_t kShown = 64;
--- a/src/services/table_feed.cc
+++ b/src/services/table_feed.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::services {
 namespace {
@@ -104,10 +104,10 @@
   update.base = known > 0 ? status.revision : LogIndex{};
   for (const auto& [id, record] : registry_.replicas()) {
     if (known == 0 || record.last_change > known - 1) {
-      update.replicas.push_back(replicaForRouters(record, registry_.takesCalls(record)));
+      update.replicas.push_back(replicaForRouters(record, registry_.acceptsCalls(record)));
     }
   }
-  if (!status.knowsLives()) {
+  if (!status.supportsIncarnationIds()) {
     useReplicaNames(update);
   }
   return update;
--- a/src/storage/log_storage.cc
+++ b/src/storage/log_storage.cc
@@ -20,7 +20,7 @@
 
   consensus::RecoveredState recover() override;
   void persist(const std::vector<consensus::PersistEffect>& writes) override;
-  void mend() override;
+  void repair() override;
   std::vector<consensus::PersistEffect> unwritten() const override { return unwritten_; }
 
  private:
@@ -137,7 +137,7 @@
   }
 }
 
-void LogStorageImpl::mend() {
+void LogStorageImpl::repair() {
   if (!recovered_) {
     throw Error(ResultCode::StorageFailed, "the log is not recovered yet");
   }
--- a/src/storage/log_storage.h
+++ b/src/storage/log_storage.h
@@ -48,7 +48,7 @@
   /// Repairs the folder after an error of persist(): truncates the folder to the state known to be synced,
   /// because it is unknown what a failed write or sync has left on disk. Throws if the disk still rejects
   /// writes or syncs; the call can be repeated.
-  virtual void mend() = 0;
+  virtual void repair() = 0;
   /// Writes, or parts of them, passed to persist() since its last success that are not known to be on disk,
   /// in order. After a repair, the caller passes them to persist() again.
   virtual std::vector<consensus::PersistEffect> unwritten() const = 0;
--- a/src/tenancy/key_table.h
+++ b/src/tenancy/key_table.h
@@ -28,7 +28,7 @@
   explicit KeyTable(const wire::ServiceCatalog& catalog);
 
   /// False if the catalog has no tenant list, in which case keys are not checked.
-  bool inUse() const { return in_use_; }
+  bool requiresKeys() const { return in_use_; }
   /// Returns nullptr if no tenant holds the key. The lookup time doesn't reveal how much of a key is right:
   /// positions in the index depend on a per-process seed, and strings of equal length are compared in
   /// constant time.
