--- a/src/tenancy/quota_client.cc
+++ b/src/tenancy/quota_client.cc
@@ -13,7 +13,7 @@
 constexpr Duration kTotalsResendPeriod = 1s;
 /// A leader sends each router a message every 250 ms and may be gone if it is silent for longer than this.
 /// The timeout bounds the usage that is not charged in the meantime: at 4 times the rate, 2.8 s of it.
-constexpr Duration kLeaderSilence = 700ms;
+constexpr Duration kLeaderTimeout = 700ms;
 /// A response takes about 5 ms. After this timeout the router no longer waits for a leader that is overloaded
 /// or gone.
 constexpr Duration kResponseTimeout = 250ms;
@@ -40,11 +40,11 @@
   if (quota.unit == wire::QuotaUnit::Calls) {
     return 1;
   }
-  return static_cast<std::int64_t>(tokens.value_or(quota.plain_cost));
+  return static_cast<std::int64_t>(tokens.value_or(quota.default_cost));
 }
 
 bool QuotaClient::leaderTimedOut(TimePoint now) const {
-  return !leader_heard_ || now - *leader_heard_ > kLeaderSilence;
+  return !last_leader_contact_ || now - *last_leader_contact_ > kLeaderTimeout;
 }
 
 QuotaReply QuotaClient::request(std::uint64_t number, const wire::Tenant& tenant, std::int64_t cost,
@@ -55,7 +55,7 @@
   if (limited_.contains(tenant.name)) {
     pending_requests_.emplace(number, PendingRequest{tenant.name, *tenant.quota, cost, now, account_});
     requests_due_ = true;
-    return {QuotaVerdict::Asked, std::nullopt};
+    return {QuotaVerdict::Pending, std::nullopt};
   }
   recordCharge(tenant.name, cost, now);
   return granted(account_);
@@ -114,7 +114,7 @@
   return amounts;
 }
 
-void QuotaClient::chargeAgain(const TenantName& tenant, std::int64_t cost, TimePoint now) {
+void QuotaClient::chargeRerun(const TenantName& tenant, std::int64_t cost, TimePoint now) {
   recordCharge(tenant, cost, now);
   const auto local_share = local_shares_.find(tenant);
   if (local_share != local_shares_.end()) {
@@ -122,8 +122,8 @@
   }
 }
 
-void QuotaClient::giveBack(const TenantName& tenant, std::int64_t cost, std::uint64_t account,
-                           TimePoint now) {
+void QuotaClient::returnCredit(const TenantName& tenant, std::int64_t cost, std::uint64_t account,
+                               TimePoint now) {
   if (account == account_) {
     recordCharge(tenant, -cost, now);
   }
@@ -147,7 +147,8 @@
 /// tolerance allows.
 QuotaReply QuotaClient::decideLocally(const TenantName& tenant, const wire::TenantQuota& quota,
                                       std::int64_t cost, TimePoint now) {
-  const auto [found, first] = local_shares_.try_emplace(tenant, LocalShare{0, leader_heard_.value_or(now)});
+  const auto [found, first] =
+      local_shares_.try_emplace(tenant, LocalShare{0, last_leader_contact_.value_or(now)});
   LocalShare& share = found->second;
   share.level += usageLeavingWindow(tenant, share.at, now);
   share.at = now;
@@ -172,14 +173,14 @@
     full_report_due_ = true;
     ++account_;
   }
-  leader_heard_ = now;
-  leader_reads_histories_ = update.readsQuotaHistories();
+  last_leader_contact_ = now;
+  leader_reads_histories_ = update.supportsQuotaHistories();
   local_shares_.clear();
   limited_ = {update.limited_tenants.begin(), update.limited_tenants.end()};
 }
 
-std::vector<QuotaResolved> QuotaClient::accept(const wire::QuotaAnswer& answer, TimePoint now) {
-  std::vector<QuotaResolved> resolved;
+std::vector<QuotaRequestOutcome> QuotaClient::accept(const wire::QuotaAnswer& answer, TimePoint now) {
+  std::vector<QuotaRequestOutcome> resolved;
   if (answer.incarnation != settings_.incarnation) {
     return resolved;
   }
@@ -189,22 +190,22 @@
       continue;
     }
     if (pending->second.abandoned && decision.granted) {
-      giveBack(pending->second.tenant, pending->second.cost, pending->second.account, now);
+      returnCredit(pending->second.tenant, pending->second.cost, pending->second.account, now);
     } else if (!pending->second.abandoned) {
       const Duration wait = std::chrono::milliseconds(decision.retry_after_ms);
       if (decision.granted) {
         recordUsage(pending->second.tenant, pending->second.cost, now);
       }
       resolved.push_back({decision.number, decision.granted ? granted(pending->second.account)
-                                                            : QuotaReply{QuotaVerdict::Spent, wait}});
+                                                            : QuotaReply{QuotaVerdict::Exhausted, wait}});
     }
     pending_requests_.erase(pending);
   }
   return resolved;
 }
 
-std::vector<QuotaResolved> QuotaClient::tick(TimePoint now) {
-  std::vector<QuotaResolved> resolved;
+std::vector<QuotaRequestOutcome> QuotaClient::tick(TimePoint now) {
+  std::vector<QuotaRequestOutcome> resolved;
   for (auto& [number, pending] : pending_requests_) {
     if (!pending.abandoned && now - pending.since >= kResponseTimeout) {
       resolved.push_back({number, decideLocally(pending.tenant, pending.quota, pending.cost, now)});
@@ -225,7 +226,7 @@
     return std::nullopt;
   }
   wire::QuotaUse use;
-  use.former_layout = !leader_reads_histories_;
+  use.legacy_layout = !leader_reads_histories_;
   use.router = settings_.router;
   use.incarnation = settings_.incarnation;
   use.sequence = ++sequence_;
--- a/src/tenancy/quota_client.h
+++ b/src/tenancy/quota_client.h
@@ -24,21 +24,21 @@
 /// Decision on a call's quota credit.
 enum class QuotaVerdict : std::uint8_t {
   Granted,
-  Asked,        ///< the leader decides; the outcome is returned later
-  Spent,        ///< the tenant's quota is used up
+  Pending,      ///< the leader decides; the outcome is returned later
+  Exhausted,    ///< the tenant's quota is used up
   Unavailable,  ///< there is no leader, and this router's local share is used up
 };
 
 struct QuotaReply {
   QuotaVerdict verdict = QuotaVerdict::Granted;
   std::optional<Duration> retry_after;
-  /// Account that a granted call was charged to, passed to giveBack(). A new account begins with the first
-  /// message that reports this router's totals to a new leader.
+  /// Account that a granted call was charged to, passed to returnCredit(). A new account begins with the
+  /// first message that reports this router's totals to a new leader.
   std::uint64_t account = 0;
 };
 
 /// Outcome of a credit request that was pending.
-struct QuotaResolved {
+struct QuotaRequestOutcome {
   std::uint64_t number = 0;
   QuotaReply reply;
 };
@@ -56,18 +56,18 @@
   QuotaReply request(std::uint64_t number, const wire::Tenant& tenant, std::int64_t cost, TimePoint now);
   /// Charges another run of a call whose credit was granted before. The cost also reduces what this router
   /// may grant without a leader.
-  void chargeAgain(const TenantName& tenant, std::int64_t cost, TimePoint now);
+  void chargeRerun(const TenantName& tenant, std::int64_t cost, TimePoint now);
   /// Refunds a call that has certainly not run and won't. Nothing is refunded if another account is open by
   /// now, as that account never charged the call.
-  void giveBack(const TenantName& tenant, std::int64_t cost, std::uint64_t account, TimePoint now);
+  void returnCredit(const TenantName& tenant, std::int64_t cost, std::uint64_t account, TimePoint now);
   /// Ends a call whose credit request is pending; credit that is still granted to it is refunded.
   void abandon(std::uint64_t number);
 
   /// Applies the leader's update, which lists the limited tenants.
   void onUpdate(const NodeName& leader, const wire::ServiceUpdate& update, TimePoint now);
-  std::vector<QuotaResolved> accept(const wire::QuotaAnswer& answer, TimePoint now);
+  std::vector<QuotaRequestOutcome> accept(const wire::QuotaAnswer& answer, TimePoint now);
   /// Decides locally the requests that the leader hasn't answered within the timeout.
-  std::vector<QuotaResolved> tick(TimePoint now);
+  std::vector<QuotaRequestOutcome> tick(TimePoint now);
   /// The message that is due to the leader, if any.
   std::optional<wire::QuotaUse> message(const NodeName& leader, TimePoint now);
   TimePoint nextDeadline() const;
@@ -107,7 +107,7 @@
   QuotaClientSettings settings_;
   Random random_;
   NodeName leader_;
-  std::optional<TimePoint> leader_heard_;
+  std::optional<TimePoint> last_leader_contact_;
   bool leader_reads_histories_ = true;
   std::optional<TimePoint> first_update_at_;
   std::set<TenantName> limited_;
--- a/src/tenancy/quota_ledger.cc
+++ b/src/tenancy/quota_ledger.cc
@@ -63,7 +63,7 @@
   known.incarnation = use.incarnation;
   known.sequence = use.sequence;
   const bool had_history = std::exchange(known.has_history, known.has_history || use.whole);
-  for (const wire::QuotaSpent& spent : use.spent) {
+  for (const wire::QuotaUsageTotal& spent : use.spent) {
     charge(known, spent, baseline, now);
   }
   if (!had_history || !same_incarnation) {
@@ -72,13 +72,14 @@
     }
   }
   known.history = std::max(known.history, std::chrono::milliseconds(use.history_ms) + (started_at_ - now));
-  for (const wire::QuotaAsk& ask : use.asks) {
+  for (const wire::QuotaCreditRequest& ask : use.asks) {
     answer.decisions.push_back(decide(ask, now));
   }
   return answer;
 }
 
-void QuotaLedger::charge(RouterTotals& known, const wire::QuotaSpent& spent, bool baseline, TimePoint now) {
+void QuotaLedger::charge(RouterTotals& known, const wire::QuotaUsageTotal& spent, bool baseline,
+                         TimePoint now) {
   const auto [total, first] = known.totals.try_emplace(spent.tenant, baseline ? spent.total : 0);
   const std::int64_t used = spent.total - total->second;
   total->second = spent.total;
@@ -116,7 +117,7 @@
   }
 }
 
-wire::QuotaDecision QuotaLedger::decide(const wire::QuotaAsk& ask, TimePoint now) {
+wire::QuotaDecision QuotaLedger::decide(const wire::QuotaCreditRequest& ask, TimePoint now) {
   wire::QuotaDecision decision;
   decision.number = ask.number;
   const auto account = accounts_.find(ask.tenant);
--- a/src/tenancy/quota_ledger.h
+++ b/src/tenancy/quota_ledger.h
@@ -45,7 +45,7 @@
   /// within the last window; is_complete: that list is complete. The history of a router that is gone, or has
   /// restarted since, is unknown: its share of the window before this leader is assumed to have been used.
   template <class Routers>
-  void followRouters(const Routers& routers, bool is_complete) {
+  void updateRouterHistory(const Routers& routers, bool is_complete) {
     std::size_t with_history = 0;
     for (const auto& [router, record] : routers) {
       const auto known = routers_.find(router);
@@ -73,10 +73,10 @@
     Duration history{};  ///< time before this leader's start that the history covers
   };
 
-  void charge(RouterTotals& known, const wire::QuotaSpent& spent, bool baseline, TimePoint now);
+  void charge(RouterTotals& known, const wire::QuotaUsageTotal& spent, bool baseline, TimePoint now);
   void applyHistory(const wire::QuotaHistory& history, TimePoint now);
   void setUnreportedShare(double share);
-  wire::QuotaDecision decide(const wire::QuotaAsk& ask, TimePoint now);
+  wire::QuotaDecision decide(const wire::QuotaCreditRequest& ask, TimePoint now);
   /// True if the tenant's calls have to request credit.
   static bool shouldLimit(Account& account, TimePoint now);
   static Duration reserveRetryTime(Account& account, double amount, TimePoint now);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -22,9 +22,9 @@
 /// vectors, maps, sets, optionals, pairs and variants. A type with fields() is encoded as an array: a reader
 /// ignores the extra elements of a longer array (written by a newer process) and leaves members that a
 /// shorter one lacks at their defaults. If an earlier build listed the members in another order,
-/// formerFields() returns them in that order: when reading, that layout is recognized by its number of
-/// members; when writing, it is used if former_layout is set. For a type with told_members, the number of
-/// members in the encoding is stored there, which shows which build the peer runs.
+/// legacyFields() returns them in that order: when reading, that layout is recognized by its number of
+/// members; when writing, it is used if legacy_layout is set. For a type with encoded_member_count, the
+/// number of members in the encoding is stored there, which shows which build the peer runs.
 namespace ferryrock::wire {
 
 namespace codec_detail {
@@ -38,13 +38,13 @@
 
 template <class T>
 concept HasLegacyFields = requires(T& value) {
-  value.formerFields();
-  value.former_layout;
+  value.legacyFields();
+  value.legacy_layout;
 };
 
 template <class T>
 concept HasEncodedMemberCount = requires(T& value) {
-  value.told_members;
+  value.encoded_member_count;
 };
 
 template <class T>
@@ -131,8 +131,8 @@
     std::visit([&packer](const auto& alternative) { packValue(packer, alternative); }, value);
   } else if constexpr (HasFields<const T>) {
     if constexpr (HasLegacyFields<const T>) {
-      if (value.former_layout) {
-        packMembers(packer, value.formerFields());
+      if (value.legacy_layout) {
+        packMembers(packer, value.legacyFields());
         return;
       }
     }
@@ -252,12 +252,12 @@
       throwMalformed("a message was expected");
     }
     if constexpr (HasEncodedMemberCount<T>) {
-      value.told_members = object.via.array.size;
+      value.encoded_member_count = object.via.array.size;
     }
     if constexpr (HasLegacyFields<T>) {
-      value.former_layout = object.via.array.size == std::tuple_size_v<decltype(value.formerFields())>;
-      if (value.former_layout) {
-        readMembers(object.via.array, value.formerFields());
+      value.legacy_layout = object.via.array.size == std::tuple_size_v<decltype(value.legacyFields())>;
+      if (value.legacy_layout) {
+        readMembers(object.via.array, value.legacyFields());
         return;
       }
     }
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -191,9 +191,9 @@
   std::vector<ModelName> removed;  ///< requested names that are not in the tree
   std::uint64_t digest = 0;        ///< digest of the router's table after this update
   /// The leader's list of the router's interests may be incomplete: the next status must list all of them.
-  bool interests_wanted = false;
+  bool requests_interests = false;
   FERRYROCK_FIELDS(TableUpdate, term, leader, base_revision, revision, tree_version, full, entries, removed,
-                   digest, interests_wanted)
+                   digest, requests_interests)
 };
 
 struct CommandReply {
--- a/src/wire/replica_life.cc
+++ b/src/wire/replica_incarnation.cc
@@ -1,4 +1,4 @@
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 #include <array>
 #include <charconv>
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-ReplicaId replicaLife(std::string_view name, std::uint64_t start_ms) {
+ReplicaId replicaIncarnationId(std::string_view name, std::uint64_t start_ms) {
   const bool plain = start_ms == 0 && name.find(kSeparator) == std::string_view::npos;
   if (plain) {
     return ReplicaId(std::string(name));
@@ -31,7 +31,7 @@
   return id.value.substr(0, id.value.rfind(kSeparator));
 }
 
-std::uint64_t replicaBorn(const ReplicaId& id) {
+std::uint64_t replicaStartMs(const ReplicaId& id) {
   const std::size_t separator = id.value.rfind(kSeparator);
   std::uint64_t start_ms = 0;
   if (separator != std::string::npos) {
--- a/src/wire/replica_life.h
+++ b/src/wire/replica_incarnation.h
@@ -12,12 +12,12 @@
 
 /// Id of the incarnation that started at `start_ms` (Unix milliseconds; 0: the replica doesn't report its
 /// start time, and its name alone is the id). Ids differ if the names or the start times do.
-ReplicaId replicaLife(std::string_view name, std::uint64_t start_ms);
+ReplicaId replicaIncarnationId(std::string_view name, std::uint64_t start_ms);
 
 /// The name that the replica reports.
 std::string replicaName(const ReplicaId& id);
 
 /// Start time of the incarnation in Unix milliseconds; 0: not reported.
-std::uint64_t replicaBorn(const ReplicaId& id);
+std::uint64_t replicaStartMs(const ReplicaId& id);
 
 }  // namespace ferryrock::wire
--- a/src/wire/service_messages.h
+++ b/src/wire/service_messages.h
@@ -35,8 +35,8 @@
   FERRYROCK_FIELDS(MemberHello, id, node, address, http, has_leader, contacts_digest, contacts)
 
   /// Number of members that the sender's build encodes; 0: not decoded from bytes.
-  std::uint32_t told_members = 0;
-  bool readsContacts() const { return told_members >= kMembersWithContacts; }
+  std::uint32_t encoded_member_count = 0;
+  bool supportsContacts() const { return encoded_member_count >= kMembersWithContacts; }
   static constexpr std::uint32_t kMembersWithContacts = 7;
 };
 
@@ -51,16 +51,16 @@
 };
 
 /// A report that is unchanged from the previous one.
-struct ReplicaAlive {
+struct UnchangedReport {
   ReplicaId id;
   std::uint64_t sequence = 0;
-  FERRYROCK_FIELDS(ReplicaAlive, id, sequence)
+  FERRYROCK_FIELDS(UnchangedReport, id, sequence)
 };
 
 /// Reports that a control member received from replicas, forwarded to the other members.
 struct ReplicaReports {
   std::vector<ReplicaReport> reports;
-  std::vector<ReplicaAlive> alive;
+  std::vector<UnchangedReport> alive;
   FERRYROCK_FIELDS(ReplicaReports, reports, alive)
 };
 
@@ -79,14 +79,14 @@
 };
 
 /// Calls of one model, or of one of its adapters, at one router.
-struct ModelWant {
+struct ModelCallCounts {
   ServiceName service;
   ModelName model;
   std::string adapter;        ///< empty: the model alone
   std::uint32_t waiting = 0;  ///< calls for which no replica has the model loaded
   std::uint32_t running = 0;
   std::uint32_t arrivals = 0;  ///< since the last status
-  FERRYROCK_FIELDS(ModelWant, service, model, adapter, waiting, running, arrivals)
+  FERRYROCK_FIELDS(ModelCallCounts, service, model, adapter, waiting, running, arrivals)
 };
 
 /// A model, or an adapter of it, that calls of a router used recently.
@@ -98,31 +98,31 @@
 };
 
 /// Load that one router has on one replica, for the aggregate over all routers.
-struct ReplicaUse {
-  std::uint32_t replica = 0;        ///< balance::loadKey() of its id
-  std::uint32_t streams = 0;        ///< attempts in flight
-  std::uint32_t unread_tokens = 0;  ///< prompt tokens of attempts without a first event so far
-  std::uint32_t sent_tokens = 0;    ///< prompt tokens sent to the replica since the last status
-  FERRYROCK_FIELDS(ReplicaUse, replica, streams, unread_tokens, sent_tokens)
+struct LocalReplicaLoad {
+  std::uint32_t replica = 0;                 ///< balance::loadKey() of its id
+  std::uint32_t streams = 0;                 ///< attempts in flight
+  std::uint32_t pending_prefill_tokens = 0;  ///< prompt tokens of attempts without a first event so far
+  std::uint32_t sent_tokens = 0;             ///< prompt tokens sent to the replica since the last status
+  FERRYROCK_FIELDS(LocalReplicaLoad, replica, streams, pending_prefill_tokens, sent_tokens)
 };
 
 /// The shortest gap between two events of a model's streams since the last status.
-struct ObservedPace {
+struct ObservedEventGap {
   std::uint32_t replica = 0;  ///< balance::loadKey() of its id
   std::uint32_t model = 0;    ///< balance::loadKey() of its name
-  std::uint32_t pause_us = 0;
-  FERRYROCK_FIELDS(ObservedPace, replica, model, pause_us)
+  std::uint32_t gap_us = 0;
+  FERRYROCK_FIELDS(ObservedEventGap, replica, model, gap_us)
 };
 
 /// Load that all routers together have on one replica.
 struct ReplicaLoad {
   std::uint32_t replica = 0;  ///< balance::loadKey() of its id
   std::uint32_t streams = 0;
-  std::uint32_t unread_tokens = 0;
+  std::uint32_t pending_prefill_tokens = 0;
   std::uint32_t tokens_per_s = 0;  ///< rate of the prompt tokens sent to the replica recently
   /// Event gap relative to that of the fastest replica; 0: unknown.
   std::uint32_t slowness_percent = 0;
-  FERRYROCK_FIELDS(ReplicaLoad, replica, streams, unread_tokens, tokens_per_s, slowness_percent)
+  FERRYROCK_FIELDS(ReplicaLoad, replica, streams, pending_prefill_tokens, tokens_per_s, slowness_percent)
 };
 
 /// Status of a call router: its contact data, what it has in force and the demand of its calls.
@@ -135,28 +135,30 @@
   bool accepting = false;  ///< callers may be directed to this router
   CatalogVersion catalog;  ///< version in force
   LogIndex revision;       ///< revision of the router's replica table
-  std::vector<ModelWant> wants;
+  std::vector<ModelCallCounts> model_calls;
   std::uint64_t directory = 0;         ///< directoryDigest() of the router's directory
   bool missed_update = false;          ///< an update arrived whose base revision the router doesn't have
   std::vector<ReplicaId> unreachable;  ///< replicas to which connections currently fail
   /// The proof of the router's catalog is about to expire, see ServiceUpdate::proved.
-  bool wants_proof = false;
+  bool needs_catalog_proof = false;
   /// Digest of the router's shared crash records, see CrashRecords.
   std::uint64_t crash_digest = 0;
-  std::vector<ReplicaUse> uses;     ///< for the leader; replicas without load aren't listed
-  std::vector<ObservedPace> paces;  ///< for the leader
+  std::vector<LocalReplicaLoad> local_loads;  ///< for the leader; replicas without load aren't listed
+  std::vector<ObservedEventGap> event_gaps;   ///< for the leader
   /// The router accepts tables that list only replicas that its calls may need.
   bool subscribes = false;
   std::uint64_t table = 0;               ///< ServiceUpdate::table of the router's table
   std::vector<ModelInterest> interests;  ///< for the leader
   FERRYROCK_FIELDS(CallRouterStatus, router, zone, address, incarnation, sequence, accepting, catalog,
-                   revision, wants, directory, missed_update, unreachable, wants_proof, crash_digest, uses,
-                   paces, subscribes, table, interests)
+                   revision, model_calls, directory, missed_update, unreachable, needs_catalog_proof,
+                   crash_digest, local_loads, event_gaps, subscribes, table, interests)
 
   /// Number of members that the sender's build encodes; 0: not decoded from bytes.
-  std::uint32_t told_members = 0;
+  std::uint32_t encoded_member_count = 0;
   /// Routers of builds without `uses` and `paces` treat a replica's id as its name.
-  bool knowsLives() const { return told_members == 0 || told_members >= kMembersWithLoads; }
+  bool supportsIncarnationIds() const {
+    return encoded_member_count == 0 || encoded_member_count >= kMembersWithLoads;
+  }
   static constexpr std::uint32_t kMembersWithLoads = 16;
 };
 
@@ -169,7 +171,7 @@
   std::uint32_t slots = 1;
   bool accepting = true;  ///< false: the replica is leaving and gets no new calls
   std::int64_t slow_start_ms = 0;
-  std::vector<HeldModel> held;
+  std::vector<LoadedModel> held;
   /// Limit on the calls per second that the replica accepts from all routers together, as received by one of
   /// them; credit must be requested before a call is sent to it. nullopt: no limit is known.
   std::optional<double> calls_per_second;
@@ -179,11 +181,11 @@
 };
 
 /// A model that is being loaded or will be soon.
-struct ComingModel {
+struct ExpectedModelLoad {
   ServiceName service;
   ModelName model;
   std::int64_t ready_in_ms = 0;  ///< estimate at the time of sending
-  FERRYROCK_FIELDS(ComingModel, service, model, ready_in_ms)
+  FERRYROCK_FIELDS(ExpectedModelLoad, service, model, ready_in_ms)
 };
 
 /// Identifies a router status that the leader received before a majority of the members confirmed that they
@@ -211,7 +213,7 @@
   /// Addresses for callers; set if the router has another directory.
   std::optional<std::vector<std::string>> directory;
   /// Expected models, of those that the router's calls wait for.
-  std::vector<ComingModel> coming;
+  std::vector<ExpectedModelLoad> coming;
   /// A replica's leave notice waits until the router confirms this revision.
   bool confirm = false;
   ProvedStatus proved;
@@ -223,15 +225,17 @@
   /// content. If base is 0, the update lists the whole table; otherwise the router is expected to have it.
   std::uint64_t table = 0;
   std::int64_t status_interval_ms = 0;  ///< interval of the router's statuses; 0: the default
-  bool grants_limits = false;           ///< the leader's build supports LimitRequest
+  bool grants_limit_credit = false;     ///< the leader's build supports LimitRequest
   FERRYROCK_FIELDS(ServiceUpdate, base, revision, version, catalog, replicas, removed, complete, routers,
                    members, directory, coming, confirm, proved, limited_tenants, loads, table,
-                   status_interval_ms, grants_limits)
+                   status_interval_ms, grants_limit_credit)
 
   /// Number of members that the sender's build encodes; 0: not decoded from bytes.
-  std::uint32_t told_members = 0;
+  std::uint32_t encoded_member_count = 0;
   /// Leaders of builds without `loads` can read QuotaUse only in its legacy layout.
-  bool readsQuotaHistories() const { return told_members == 0 || told_members >= kMembersWithLoads; }
+  bool supportsQuotaHistories() const {
+    return encoded_member_count == 0 || encoded_member_count >= kMembersWithLoads;
+  }
   static constexpr std::uint32_t kMembersWithLoads = 15;
 };
 
@@ -244,10 +248,10 @@
 
 /// Usage of a tenant's calls at one router since the router's start, less refunds. As all amounts of quotas,
 /// in the unit of the tenant's quota.
-struct QuotaSpent {
+struct QuotaUsageTotal {
   TenantName tenant;
   std::int64_t total = 0;
-  FERRYROCK_FIELDS(QuotaSpent, tenant, total)
+  FERRYROCK_FIELDS(QuotaUsageTotal, tenant, total)
 };
 
 /// Usage of a tenant's calls at one router in each of the latest seconds, latest first.
@@ -258,11 +262,11 @@
 };
 
 /// Request for quota credit by a waiting call.
-struct QuotaAsk {
+struct QuotaCreditRequest {
   std::uint64_t number = 0;  ///< unique at the router
   TenantName tenant;
   std::int64_t amount = 0;
-  FERRYROCK_FIELDS(QuotaAsk, number, tenant, amount)
+  FERRYROCK_FIELDS(QuotaCreditRequest, number, tenant, amount)
 };
 
 /// Sent by a router to the leader. Usage is sent as totals rather than amounts, so that a message that is
@@ -274,16 +278,16 @@
   bool whole = false;                   ///< all totals are listed: the first message to this leader
   std::vector<QuotaHistory> histories;  ///< set if whole
   std::int64_t history_ms = 0;          ///< time that the histories cover
-  std::vector<QuotaSpent> spent;
-  std::vector<QuotaAsk> asks;
+  std::vector<QuotaUsageTotal> spent;
+  std::vector<QuotaCreditRequest> asks;
   FERRYROCK_FIELDS(QuotaUse, router, incarnation, sequence, whole, histories, history_ms, spent, asks)
 
-  bool former_layout = false;  ///< encoded by, or for, a build without histories
-  auto formerFields() { return std::tie(router, incarnation, sequence, whole, spent, asks); }
-  auto formerFields() const { return std::tie(router, incarnation, sequence, whole, spent, asks); }
+  bool legacy_layout = false;  ///< encoded by, or for, a build without histories
+  auto legacyFields() { return std::tie(router, incarnation, sequence, whole, spent, asks); }
+  auto legacyFields() const { return std::tie(router, incarnation, sequence, whole, spent, asks); }
 };
 
-/// The leader's decision on a QuotaAsk. Granted credit is already charged.
+/// The leader's decision on a QuotaCreditRequest. Granted credit is already charged.
 struct QuotaDecision {
   std::uint64_t number = 0;
   bool granted = false;
@@ -299,41 +303,41 @@
 
 /// Minimum rate, in calls per second, at which calls are sent to a replica with a lower limit or a limit of
 /// 0: without any call, no router would learn that the limit has been raised.
-inline constexpr double kLeastLimitRate = 0.1;
+inline constexpr double kMinLimitRate = 0.1;
 
 /// Limit on the calls per second from all routers together that a replica announced in an answer to a router.
-struct HeardLimit {
+struct ObservedLimit {
   ReplicaId replica;
   std::optional<double> calls_per_second;  ///< nullopt: the answer had no limit
   /// Time since the answer arrived; for an answer without a limit, time since the answered call was sent.
   std::int64_t age_ms = 0;
-  FERRYROCK_FIELDS(HeardLimit, replica, calls_per_second, age_ms)
+  FERRYROCK_FIELDS(ObservedLimit, replica, calls_per_second, age_ms)
 };
 
 /// Request for credit under a replica's limit, either for a waiting call or for use by any call (wait_ms =
 /// 0).
-struct LimitAsk {
+struct LimitCreditRequest {
   std::uint64_t number = 0;  ///< unique at the router
   ReplicaId replica;
   std::int64_t wait_ms = 0;     ///< longest time that the call can wait
   double calls_per_second = 0;  ///< the limit known to the router
   std::int64_t age_ms = 0;      ///< time since the router last received this limit
-  FERRYROCK_FIELDS(LimitAsk, number, replica, wait_ms, calls_per_second, age_ms)
+  FERRYROCK_FIELDS(LimitCreditRequest, number, replica, wait_ms, calls_per_second, age_ms)
 };
 
-/// Sent by a router to a leader whose updates have grants_limits set.
+/// Sent by a router to a leader whose updates have grants_limit_credit set.
 struct LimitRequest {
   NodeName router;
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
-  std::vector<HeardLimit> heard;
-  std::vector<LimitAsk> asks;
+  std::vector<ObservedLimit> heard;
+  std::vector<LimitCreditRequest> asks;
   /// One entry for each granted call that was certainly not sent.
   std::vector<ReplicaId> returned;
   FERRYROCK_FIELDS(LimitRequest, router, incarnation, sequence, heard, asks, returned)
 };
 
-/// The leader's decision on a LimitAsk.
+/// The leader's decision on a LimitCreditRequest.
 struct LimitDecision {
   std::uint64_t number = 0;
   bool granted = false;
--- a/src/wire/service_types.h
+++ b/src/wire/service_types.h
@@ -35,18 +35,19 @@
   CallKind kind = CallKind::AtMostOnce;
   std::int64_t timeout_ms = 0;         ///< maximum time for which a call is handled
   std::int64_t target_latency_ms = 0;  ///< up to the answer, or to the first event of a stream
-  std::int64_t target_pause_ms = 0;    ///< between two events of a stream; 0: not stated
+  std::int64_t target_gap_ms = 0;      ///< between two events of a stream; 0: not stated
   /// Callers disconnect when no data arrives for longer; 0: unknown.
-  std::int64_t patience_ms = 0;
+  std::int64_t caller_idle_timeout_ms = 0;
   std::uint32_t priority = 0;      ///< 0 is the most urgent
   std::uint32_t max_attempts = 1;  ///< maximum replicas that one call is sent to
   /// Calls with a common prompt prefix go to the same replica.
   bool affinity = false;
   bool resumable = false;  ///< a broken stream may be resumed at another replica
   std::vector<RouteTarget> targets;
-  bool open_to_all = false;  ///< calls don't need a key
-  FERRYROCK_FIELDS(CallRoute, name, host, path_prefix, kind, timeout_ms, target_latency_ms, target_pause_ms,
-                   priority, max_attempts, affinity, resumable, targets, patience_ms, open_to_all)
+  bool allows_anonymous = false;  ///< calls don't need a key
+  FERRYROCK_FIELDS(CallRoute, name, host, path_prefix, kind, timeout_ms, target_latency_ms, target_gap_ms,
+                   priority, max_attempts, affinity, resumable, targets, caller_idle_timeout_ms,
+                   allows_anonymous)
 };
 
 /// A model that the replicas of a service can load.
@@ -91,10 +92,10 @@
 /// Usage that a tenant may have over all routers.
 struct TenantQuota {
   QuotaUnit unit = QuotaUnit::Calls;
-  double per_second = 0;         ///< above 0
-  double burst = 0;              ///< allowed at once in addition to the rate
-  std::uint64_t plain_cost = 1;  ///< cost of a call without token counts, if the unit is tokens
-  FERRYROCK_FIELDS(TenantQuota, unit, per_second, burst, plain_cost)
+  double per_second = 0;           ///< above 0
+  double burst = 0;                ///< allowed at once in addition to the rate
+  std::uint64_t default_cost = 1;  ///< cost of a call without token counts, if the unit is tokens
+  FERRYROCK_FIELDS(TenantQuota, unit, per_second, burst, default_cost)
 };
 
 /// A customer, whose calls carry one of its API keys.
@@ -127,10 +128,10 @@
 };
 
 /// A model that is loaded on a replica, with its loaded adapters.
-struct HeldModel {
+struct LoadedModel {
   ModelName model;
   std::vector<std::string> adapters;
-  FERRYROCK_FIELDS(HeldModel, model, adapters)
+  FERRYROCK_FIELDS(LoadedModel, model, adapters)
 };
 
 /// A replica's heartbeat or leave notice.
@@ -142,14 +143,14 @@
   std::uint32_t slots = 1;
   bool leaving = false;
   /// Time until the replica terminates, even if calls are still running.
-  std::optional<std::int64_t> ends_in_ms;
+  std::optional<std::int64_t> terminates_in_ms;
   std::int64_t slow_start_ms = 0;  ///< remaining time of the slowdown after the replica's start
   /// Incremented with each report, so that a delayed one is recognized.
   std::uint64_t sequence = 0;
-  std::vector<HeldModel> held;
+  std::vector<LoadedModel> held;
   std::vector<ModelName> in_memory;  ///< weights that the replica can load fast
   std::vector<ModelName> on_disk;
-  FERRYROCK_FIELDS(ReplicaReport, id, service, address, zone, slots, leaving, ends_in_ms, slow_start_ms,
+  FERRYROCK_FIELDS(ReplicaReport, id, service, address, zone, slots, leaving, terminates_in_ms, slow_start_ms,
                    sequence, held, in_memory, on_disk)
 };
 
@@ -164,18 +165,18 @@
 };
 
 /// A replica that crashed while it ran a call.
-struct ReplicaEnd {
+struct ReplicaCrash {
   ReplicaId replica;
   /// The call was answered since, so that the crash doesn't count against it.
   bool refuted = false;
-  FERRYROCK_FIELDS(ReplicaEnd, replica, refuted)
+  FERRYROCK_FIELDS(ReplicaCrash, replica, refuted)
 };
 
 /// Crashes recorded for one call. Records of the same call are merged by union.
 struct CrashRecord {
   CallFingerprint call;
-  std::vector<ReplicaEnd> ended;  ///< ordered by replica id
-  std::int64_t age_ms = 0;        ///< time since the last crash
+  std::vector<ReplicaCrash> ended;  ///< ordered by replica id
+  std::int64_t age_ms = 0;          ///< time since the last crash
   FERRYROCK_FIELDS(CrashRecord, call, ended, age_ms)
 };
 
--- a/tests/balance/call_cost_test.cc
+++ b/tests/balance/call_cost_test.cc
@@ -32,7 +32,7 @@
   CallCandidate home = candidate(0, 0, 0, 1);
   home.is_home = true;
   CHECK(callCost(kPrompt, home) == Approx(callCost(kPrompt, candidate(0, 0, 0, 1)) - 6'300));
-  home.use.unread_tokens = 7'000;
+  home.use.pending_prefill_tokens = 7'000;
   CHECK(callCost(kPrompt, home) > callCost(kPrompt, candidate(0, 0, 0, 1)));
   CHECK(callCost({100, 6'300, 0}, home) >= 0);
 }
--- a/tests/calls/call_fixture.h
+++ b/tests/calls/call_fixture.h
@@ -84,7 +84,9 @@
         all.begin(), all.end(), [](const Effect& e) { return std::holds_alternative<Kind>(e); }));
   }
   AttemptNumber attempt() const { return last<SendAttemptEffect>()->attempt; }
-  void answer(int status, bool unrun = false) { take(router_.onAnswer(attempt(), {status, unrun}, now)); }
+  void answer(int status, bool proven_not_run = false) {
+    take(router_.onAnswer(attempt(), {status, proven_not_run}, now));
+  }
   /// Passes a notice from the replica of the last attempt.
   void notice(const ReplicaNotice& notice) {
     take(router_.onNotice(last<SendAttemptEffect>()->replica, notice, now));
@@ -128,7 +130,7 @@
   TimePoint now{std::chrono::seconds(1000)};
   std::vector<Effect> all;
   wire::CallFingerprint fingerprint{1, 1};           ///< fingerprint of subsequent calls
-  ProbeOutcome probe_outcome = ProbeOutcome::Lives;  ///< result of each probe
+  ProbeOutcome probe_outcome = ProbeOutcome::Alive;  ///< result of each probe
   CallRouter& router() { return router_; }
 
  private:
--- a/tests/calls/call_router_test.cc
+++ b/tests/calls/call_router_test.cc
@@ -81,13 +81,13 @@
 
 TEST_CASE("Only a call that certainly didn't run, or that is repeatable, is sent again") {
   const std::vector<FailureCase> cases = {
-      {"/once/x", AttemptFailure::Unproved, 1, ResultCode::ReplicaFailed, false},
-      {"/once/x", AttemptFailure::Foreign, 1, ResultCode::ReplicaFailed, false},
+      {"/once/x", AttemptFailure::OutcomeUnknown, 1, ResultCode::ReplicaFailed, false},
+      {"/once/x", AttemptFailure::ForeignResponse, 1, ResultCode::ReplicaFailed, false},
       {"/once/x", AttemptFailure::NotSent, 3, ResultCode::NoReplica, true},
-      {"/safe/x", AttemptFailure::Unproved, 3, ResultCode::ReplicaFailed, false},
-      {"/safe/x", AttemptFailure::Foreign, 3, ResultCode::ReplicaFailed, false},
-      {"/single/x", AttemptFailure::Unproved, 1, ResultCode::ReplicaFailed, false},
-      {"/stream/x", AttemptFailure::Unproved, 3, ResultCode::ReplicaFailed, false},
+      {"/safe/x", AttemptFailure::OutcomeUnknown, 3, ResultCode::ReplicaFailed, false},
+      {"/safe/x", AttemptFailure::ForeignResponse, 3, ResultCode::ReplicaFailed, false},
+      {"/single/x", AttemptFailure::OutcomeUnknown, 1, ResultCode::ReplicaFailed, false},
+      {"/stream/x", AttemptFailure::OutcomeUnknown, 3, ResultCode::ReplicaFailed, false},
   };
   for (const FailureCase& given : cases) {
     INFO(given.path << " " << static_cast<int>(given.failure));
@@ -160,8 +160,8 @@
   CHECK(fixture.count<SendAttemptEffect>() == 1);
   CHECK(fixture.last<RefuseCallEffect>() == nullptr);
   CHECK(fixture.lastStatus().unreachable == std::vector<ReplicaId>{ReplicaId("e1")});
-  REQUIRE(fixture.lastStatus().wants.size() == 1);
-  CHECK(fixture.lastStatus().wants[0].waiting == 1);
+  REQUIRE(fixture.lastStatus().model_calls.size() == 1);
+  CHECK(fixture.lastStatus().model_calls[0].waiting == 1);
   fixture.addReplicas({ModelFixture::holder("e2")});
   REQUIRE(fixture.count<SendAttemptEffect>() == 2);
   CHECK(fixture.last<SendAttemptEffect>()->replica == ReplicaId("e2"));
@@ -200,7 +200,7 @@
 TEST_CASE("A call that may have run isn't refused as not run, even if later replicas refuse it") {
   StartedFixture fixture;
   fixture.call("/safe/x");
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   while (fixture.last<RefuseCallEffect>() == nullptr) {
     fixture.answer(503, true);
   }
@@ -245,7 +245,7 @@
   fixture.call("/stream/x");
   fixture.event(1);
   fixture.event(2);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   REQUIRE(fixture.count<SendAttemptEffect>() == 2);
   CHECK(fixture.last<SendAttemptEffect>()->resume_after == 2);
   fixture.event(2);
@@ -260,7 +260,7 @@
   StartedFixture fixture;
   fixture.call("/single/x");
   fixture.event(1);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   CHECK(fixture.count<BreakStreamEffect>() == 1);
   CHECK(fixture.count<FinishStreamEffect>() == 0);
 }
@@ -269,7 +269,7 @@
   StartedFixture fixture;
   fixture.call("/stream/x");
   fixture.event(1);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   while (fixture.count<BreakStreamEffect>() == 0) {
     fixture.answer(503, true);
   }
@@ -298,10 +298,10 @@
   CHECK(fixture.count<SendAttemptEffect>() == 0);
   const auto* send = fixture.last<wire::SendEffect>();
   REQUIRE(send != nullptr);
-  const auto& wants = std::get<wire::CallRouterStatus>(send->message).wants;
-  REQUIRE(wants.size() == 1);
-  CHECK(wants[0].waiting == 1);
-  CHECK(wants[0].adapter == "a1");
+  const auto& model_calls = std::get<wire::CallRouterStatus>(send->message).model_calls;
+  REQUIRE(model_calls.size() == 1);
+  CHECK(model_calls[0].waiting == 1);
+  CHECK(model_calls[0].adapter == "a1");
   wire::RoutedReplica holder = CallFixture::replica("e1", "llm");
   holder.held = {{ModelName("m1"), {"a1"}}};
   fixture.addReplicas({holder});
--- a/tests/calls/crash_test.cc
+++ b/tests/calls/crash_test.cc
@@ -8,15 +8,15 @@
 namespace {
 
 using namespace std::chrono_literals;
-using quarantine::Standing;
+using quarantine::QuarantineState;
 
 struct CrashFixture : CallFixture {
   CrashFixture() {
     begin();
     addReplicas({replica("r1"), replica("r2"), replica("r3"), replica("r4"), replica("r5")});
-    probe_outcome = ProbeOutcome::Ended;
+    probe_outcome = ProbeOutcome::Terminated;
   }
-  Standing standing() { return router().crashLedger().standing(fingerprint); }
+  QuarantineState quarantineState() { return router().crashLedger().quarantineState(fingerprint); }
   /// Passes the crash record of another router, as forwarded by a member.
   void receiveRecord(const std::vector<std::string>& ended, bool shares_all = false) {
     wire::CrashRecord record;
@@ -48,12 +48,13 @@
 
 TEST_CASE("Only a replica found terminated after it broke off the call counts against the call") {
   const std::vector<EvidenceCase> cases = {
-      {"the process ended", AttemptFailure::Unproved, ProbeOutcome::Ended, true, 1},
-      {"the connection was reset, or the answer lost or cut short", AttemptFailure::Unproved,
-       ProbeOutcome::Lives, false, 1},
-      {"the replica is cut off, frozen or slow", AttemptFailure::Unproved, ProbeOutcome::Unknown, false, 1},
-      {"the replica had ended before the call was sent", AttemptFailure::NotSent, ProbeOutcome::Ended, false,
-       0},
+      {"the process ended", AttemptFailure::OutcomeUnknown, ProbeOutcome::Terminated, true, 1},
+      {"the connection was reset, or the answer lost or cut short", AttemptFailure::OutcomeUnknown,
+       ProbeOutcome::Alive, false, 1},
+      {"the replica is cut off, frozen or slow", AttemptFailure::OutcomeUnknown, ProbeOutcome::Unknown, false,
+       1},
+      {"the replica had ended before the call was sent", AttemptFailure::NotSent, ProbeOutcome::Terminated,
+       false, 0},
   };
   for (const EvidenceCase& given : cases) {
     INFO(given.name);
@@ -61,7 +62,7 @@
     fixture.probe_outcome = given.outcome;
     fixture.call("/once/x");
     fixture.fail(given.failure);
-    CHECK((fixture.standing() == Standing::Suspected) == given.counts);
+    CHECK((fixture.quarantineState() == QuarantineState::Suspected) == given.counts);
     CHECK(fixture.count<ProbeReplicaEffect>() == given.probes);
   }
 }
@@ -69,10 +70,10 @@
 TEST_CASE("A call is refused as possibly run and not retried after a third replica crashed under it") {
   CrashFixture fixture;
   fixture.call("/safe/x");
-  fixture.fail(AttemptFailure::Unproved);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   CHECK(fixture.count<RefuseCallEffect>() == 0);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   REQUIRE(fixture.count<RefuseCallEffect>() == 1);
   CHECK(fixture.last<RefuseCallEffect>()->code == ResultCode::CallQuarantined);
   CHECK_FALSE(fixture.last<RefuseCallEffect>()->not_run);
@@ -91,7 +92,7 @@
   for (const Effect& effect : fixture.all) {
     const auto* send = std::get_if<wire::SendEffect>(&effect);
     const auto* status = send == nullptr ? nullptr : std::get_if<wire::CallRouterStatus>(&send->message);
-    CHECK((status == nullptr || status->wants.empty()));
+    CHECK((status == nullptr || status->model_calls.empty()));
   }
   CHECK(refused.retry_after == quarantine::CrashLedgerSettings{}.quarantine);
   CHECK(fixture.count<SendAttemptEffect>() == 0);
@@ -114,34 +115,34 @@
   CHECK(fixture.last<CancelAttemptEffect>()->attempt == running);
   fixture.take(fixture.router().onStreamEnd(streaming, fixture.now));
   CHECK(fixture.count<FinishStreamEffect>() == 1);
-  CHECK(fixture.standing() == Standing::Unsuspected);
+  CHECK(fixture.quarantineState() == QuarantineState::Unsuspected);
 }
 
 TEST_CASE("Crashed replicas don't use up the attempts of calls that ran beside the crashing one") {
   CrashFixture fixture;
   fixture.receiveRecord({});
   fixture.call("/safe/x");
-  fixture.fail(AttemptFailure::Unproved);
-  fixture.fail(AttemptFailure::Unproved);
-  fixture.probe_outcome = ProbeOutcome::Lives;
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
+  fixture.probe_outcome = ProbeOutcome::Alive;
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   CHECK(fixture.count<SendAttemptEffect>() == 4);
   fixture.answer(200);
   CHECK(fixture.count<DeliverAnswerEffect>() == 1);
-  CHECK(fixture.standing() == Standing::Unsuspected);
+  CHECK(fixture.quarantineState() == QuarantineState::Unsuspected);
 }
 
 TEST_CASE("A call that was broken off waits for the probe of its replica, but not beyond its deadline") {
   CrashFixture fixture;
   fixture.call("/safe/x");
-  fixture.take(
-      fixture.router().onFailure(fixture.attempt(), AttemptFailure::Unproved, "broken off", fixture.now));
+  fixture.take(fixture.router().onFailure(fixture.attempt(), AttemptFailure::OutcomeUnknown, "broken off",
+                                          fixture.now));
   fixture.pass(100ms);
   CHECK(fixture.count<SendAttemptEffect>() == 1);
   fixture.answerProbes();
   CHECK(fixture.count<SendAttemptEffect>() == 2);
-  fixture.take(
-      fixture.router().onFailure(fixture.attempt(), AttemptFailure::Unproved, "broken off", fixture.now));
+  fixture.take(fixture.router().onFailure(fixture.attempt(), AttemptFailure::OutcomeUnknown, "broken off",
+                                          fixture.now));
   fixture.pass(1s);
   REQUIRE(fixture.count<RefuseCallEffect>() == 1);
   CHECK(fixture.last<RefuseCallEffect>()->code == ResultCode::ReplicaFailed);
@@ -163,8 +164,8 @@
   for (const Effect& effect : std::vector<Effect>(fixture.all)) {
     if (const auto* send = std::get_if<SendAttemptEffect>(&effect)) {
       ++on_replica[send->replica];
-      fixture.take(
-          fixture.router().onFailure(send->attempt, AttemptFailure::Unproved, "broken off", fixture.now));
+      fixture.take(fixture.router().onFailure(send->attempt, AttemptFailure::OutcomeUnknown, "broken off",
+                                              fixture.now));
     }
   }
   fixture.take(fixture.router().onCallerGone(calls[0], fixture.now));
@@ -181,11 +182,11 @@
   fixture.answer(200);
   CHECK(fixture.sentRecords() == 0);
   fixture.call("/safe/x");
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   CHECK(fixture.sentRecords() == 2);
   fixture.answer(200);
   CHECK(fixture.sentRecords() == 4);
-  CHECK(fixture.standing() == Standing::Unsuspected);
+  CHECK(fixture.quarantineState() == QuarantineState::Unsuspected);
 }
 
 TEST_CASE("Shared crash records are sent only to a member that lacks some of them") {
--- a/tests/calls/parts_test.cc
+++ b/tests/calls/parts_test.cc
@@ -4,7 +4,7 @@
 
 #include "calls/call_fixture.h"
 #include "common/hashing.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::calls {
 namespace {
@@ -158,7 +158,7 @@
     wire::ServiceUpdate update;
     update.base = LogIndex{1};
     update.replicas = {CallFixture::replica("r1")};
-    update.replicas[0].id = wire::replicaLife("r1", start_ms);
+    update.replicas[0].id = wire::replicaIncarnationId("r1", start_ms);
     update.replicas[0].held = {{ModelName("m"), {}}};
     table.apply(update, kStart);
     return table.find(update.replicas[0].id);
@@ -175,8 +175,8 @@
   ReplicaNeed wanted = need("desk");
   wanted.model = ModelName("m");
   CHECK(table.choose(wanted, kStart).replica == present);
-  CHECK(table.find(wire::replicaLife("r1", 1000)) != nullptr);  // until its attempt has ended
-  table.onReleased(*table.find(wire::replicaLife("r1", 1000)));
+  CHECK(table.find(wire::replicaIncarnationId("r1", 1000)) != nullptr);  // until its attempt has ended
+  table.onReleased(*table.find(wire::replicaIncarnationId("r1", 1000)));
   CHECK(list(1000) == nullptr);
   CHECK(table.size() == 1);
 }
--- a/tests/calls/replica_credit_test.cc
+++ b/tests/calls/replica_credit_test.cc
@@ -28,7 +28,7 @@
   void receiveLeaderUpdate() {
     wire::ServiceUpdate update;
     update.base = LogIndex{(std::uint64_t{1} << 40) | 1};
-    update.grants_limits = true;
+    update.grants_limit_credit = true;
     send(update);
   }
   /// Passes the leader's decision on the last credit request.
--- a/tests/calls/replica_limits_test.cc
+++ b/tests/calls/replica_limits_test.cc
@@ -82,12 +82,12 @@
   REQUIRE(request);
   REQUIRE(request->asks.size() == 1);
   CHECK(request->asks.front().wait_ms == 300);
-  CHECK(request->heard == std::vector<wire::HeardLimit>{{kReplica, 1.0, 0}});
+  CHECK(request->heard == std::vector<wire::ObservedLimit>{{kReplica, 1.0, 0}});
   CHECK_FALSE(fixture.limits.message(fixture.now));
   const auto resolved =
       fixture.limits.accept({7, {fixture.decision(*credit_request, true, 200)}}, fixture.now);
   REQUIRE(resolved.size() == 1);
-  CHECK(resolved.front().verdict == LimitResolved::Verdict::Granted);
+  CHECK(resolved.front().verdict == LimitRequestOutcome::Verdict::Granted);
   CHECK(resolved.front().at == fixture.now + 200ms);
   CHECK(fixture.limits.accept({7, {fixture.decision(*credit_request, true, 0)}}, fixture.now).empty());
 }
@@ -114,7 +114,7 @@
   const auto resolved = fixture.limits.tick(fixture.now + 250ms);
   REQUIRE(resolved.size() == 1);
   CHECK(resolved.front().request_number == *credit_request);
-  CHECK(resolved.front().verdict == LimitResolved::Verdict::Unanswered);
+  CHECK(resolved.front().verdict == LimitRequestOutcome::Verdict::Unanswered);
 }
 
 TEST_CASE("A leader that knows no limit ends it, unless it was stated again after the request") {
--- a/tests/calls/replica_notice_test.cc
+++ b/tests/calls/replica_notice_test.cc
@@ -153,13 +153,13 @@
 }
 
 TEST_CASE("A requested backoff doesn't count as a failure, whether or not the call is marked as not run") {
-  for (const bool unrun : {true, false}) {
-    INFO(unrun);
+  for (const bool proven_not_run : {true, false}) {
+    INFO(proven_not_run);
     SingleReplicaFixture fixture;
     for (int i = 0; i < 5; ++i) {
       fixture.call("/model/x", "m1");
       fixture.notice({false, 1s, ""});
-      fixture.answer(503, unrun);
+      fixture.answer(503, proven_not_run);
       fixture.pass(1100ms);
     }
     fixture.addReplicas({SingleReplicaFixture::holder("e2")});
@@ -193,7 +193,7 @@
   const std::string refusing = fixture.last<SendAttemptEffect>()->replica.value;
   fixture.refuseWithBackoff(3s);
   fixture.event(1);
-  fixture.fail(AttemptFailure::Unproved);
+  fixture.fail(AttemptFailure::OutcomeUnknown);
   CHECK(fixture.sentTo(refusing) == 1);
 }
 
@@ -207,7 +207,8 @@
   for (const Effect& effect : fixture.all) {
     const auto* sent = std::get_if<wire::SendEffect>(&effect);
     const auto* status = sent == nullptr ? nullptr : std::get_if<wire::CallRouterStatus>(&sent->message);
-    for (const wire::ModelWant& want : status == nullptr ? std::vector<wire::ModelWant>() : status->wants) {
+    for (const wire::ModelCallCounts& want :
+         status == nullptr ? std::vector<wire::ModelCallCounts>() : status->model_calls) {
       waiting = std::max(waiting, want.waiting);
     }
   }
--- a/tests/calls/tenant_test.cc
+++ b/tests/calls/tenant_test.cc
@@ -35,7 +35,7 @@
     tenant.priority = 6;
     tenant.quota = wire::TenantQuota{wire::QuotaUnit::Tokens, 1000, 1000, 200};
     catalog.tenants = {tenant};
-    catalog.routes.front().open_to_all = true;  // /safe/
+    catalog.routes.front().allows_anonymous = true;  // /safe/
     return catalog;
   }
   void update(wire::ServiceUpdate update, std::uint64_t proved_sequence) {
@@ -64,7 +64,7 @@
     request.time_limit = 10s;
     request.prompt_tokens = 300;
     request.answer_tokens = 100;
-    request.tells_tokens = true;
+    request.has_token_counts = true;
     request.credential = credential;
     take(router_.onCall(request, now));
     return CallNumber{numbers_};
@@ -224,7 +224,7 @@
   }
   SECTION("refused, with the time at which there is credit") {
     fixture.decide(call.value, false, 700);
-    CHECK(fixture.refusal() == ResultCode::QuotaSpent);
+    CHECK(fixture.refusal() == ResultCode::QuotaUsageTotal);
     CHECK(fixture.last<RefuseCallEffect>()->not_run);
     CHECK(fixture.last<RefuseCallEffect>()->retry_after == 700ms);
   }
@@ -252,8 +252,8 @@
     CHECK(fixture.lastQuotaUse()->spent[0].total == 0);
   }
   SECTION("it may have run") {
-    fixture.take(
-        fixture.keyedRouter().onFailure(fixture.attempt(), AttemptFailure::Unproved, "reset", fixture.now));
+    fixture.take(fixture.keyedRouter().onFailure(fixture.attempt(), AttemptFailure::OutcomeUnknown, "reset",
+                                                 fixture.now));
     REQUIRE(fixture.count<RefuseCallEffect>() == 1);
     fixture.passTime(60ms);
     CHECK(fixture.lastQuotaUse()->spent[0].total == 400);
@@ -269,9 +269,9 @@
   REQUIRE(fixture.count<SendAttemptEffect>() == 1);
   SECTION("it may have run") {
     const ReplicaId first = fixture.last<SendAttemptEffect>()->replica;
-    fixture.take(
-        fixture.keyedRouter().onFailure(fixture.attempt(), AttemptFailure::Unproved, "reset", fixture.now));
-    fixture.take(fixture.keyedRouter().onProbed(first, ProbeOutcome::Lives, fixture.now));
+    fixture.take(fixture.keyedRouter().onFailure(fixture.attempt(), AttemptFailure::OutcomeUnknown, "reset",
+                                                 fixture.now));
+    fixture.take(fixture.keyedRouter().onProbed(first, ProbeOutcome::Alive, fixture.now));
     fixture.passTime(60ms);
     REQUIRE(fixture.count<SendAttemptEffect>() == 2);
     CHECK(fixture.lastQuotaUse()->spent[0].total == 800);
--- a/tests/calls/wait_policy_test.cc
+++ b/tests/calls/wait_policy_test.cc
@@ -93,8 +93,8 @@
   CHECK(refusal->retry_after >= 20s);
   fixture.pass(500ms);
   const auto& status = std::get<wire::CallRouterStatus>(fixture.last<wire::SendEffect>()->message);
-  REQUIRE(status.wants.size() == 1);
-  CHECK(status.wants[0].waiting == 1);
+  REQUIRE(status.model_calls.size() == 1);
+  CHECK(status.model_calls[0].waiting == 1);
 }
 
 TEST_CASE("The expected load time is kept until it is past, and callers are expected a little longer") {
@@ -130,8 +130,8 @@
   CHECK(*refusal->retry_after < 400ms);
   fixture.pass(260ms);
   const auto& status = std::get<wire::CallRouterStatus>(fixture.last<wire::SendEffect>()->message);
-  REQUIRE(status.wants.size() == 1);
-  CHECK(status.wants[0].waiting == 1);
+  REQUIRE(status.model_calls.size() == 1);
+  CHECK(status.model_calls[0].waiting == 1);
 }
 
 TEST_CASE("A replica with long event gaps is used only while the fast ones prefill") {
@@ -157,7 +157,7 @@
     CHECK(chosen == &fast);
     table.onSent(*chosen, kArrived);
   }
-  fast.unread_tokens = 1000;
+  fast.pending_prefill_tokens = 1000;
   CHECK(table.choose(need, kArrived).replica == &slow);
 }
 
--- a/tests/consensus/cell_harness.cc
+++ b/tests/consensus/cell_harness.cc
@@ -218,7 +218,7 @@
       apply(member, *applied);
     } else if (auto* restored = std::get_if<RestoreEffect>(&effect)) {
       restore(member, *restored);
-    } else if (std::holds_alternative<SnapshotWantedEffect>(effect)) {
+    } else if (std::holds_alternative<SnapshotRequestEffect>(effect)) {
       const std::uint64_t incarnation = member.incarnation;
       at(milliseconds(1), [this, &member, incarnation] {
         onMember(member, incarnation, [this, &member] {
--- a/tests/consensus/fault_table_test.cc
+++ b/tests/consensus/fault_table_test.cc
@@ -74,10 +74,10 @@
   SimulatedMember& old_leader = awaitLeader(cell);
   cell.runFor(seconds(1));
   const TimePoint cut_at = cell.localTime(old_leader);
-  CHECK(old_leader.log->followedAt(cut_at) > cut_at - milliseconds(400));
+  CHECK(old_leader.log->leadershipConfirmedAt(cut_at) > cut_at - milliseconds(400));
   partitionOff(cell, old_leader, minutes(60));
   cell.runFor(milliseconds(300));
-  CHECK(old_leader.log->followedAt(cell.localTime(old_leader)).value_or(cut_at) <= cut_at);
+  CHECK(old_leader.log->leadershipConfirmedAt(cell.localTime(old_leader)).value_or(cut_at) <= cut_at);
   cell.runFor(seconds(3));
   CHECK(old_leader.log->role() != Role::Leader);
   CHECK_FALSE(old_leader.log->hasLease(cell.localTime(old_leader)));
--- a/tests/control/fake_router.h
+++ b/tests/control/fake_router.h
@@ -76,7 +76,7 @@
 
  private:
   void take(const wire::TableUpdate& update) {
-    send_all_ = send_all_ || update.interests_wanted;
+    send_all_ = send_all_ || update.requests_interests;
     const bool older = ready_ && update.revision <= revision_;
     if (older || (!update.full && update.base_revision != revision_)) {
       return;
--- a/tests/fault/placement/planner_defects_test.cc
+++ b/tests/fault/placement/planner_defects_test.cc
@@ -44,9 +44,9 @@
       {"the incarnation isn't checked", ledgerWithout(&LedgerChecks::incarnation), 13,
        "of an incarnation that is gone"},
       {"a slot is freed without proof", ledgerWithout(&LedgerChecks::free_proof), 3, "that is freed"},
-      {"proposals on their way aren't counted", plannerWith(&PlannerDefects::forget_pending), 1,
+      {"proposals on their way aren't counted", plannerWith(&PlannerDefects::ignore_pending_proposals), 1,
        "gets another"},
-      {"lost proposals are waited for, for ever", plannerWith(&PlannerDefects::never_expire), 3,
+      {"lost proposals are waited for, for ever", plannerWith(&PlannerDefects::never_expire_proposals), 3,
        "below its minimum"},
   };
   for (const DefectCase& defect : cases) {
--- a/tests/fuzz/platform_targets.cc
+++ b/tests/fuzz/platform_targets.cc
@@ -2,7 +2,7 @@
 #include "fuzz_target.h"
 #include "platform/order_dialect.h"
 #include "platform/replica_json.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// What replicas, or others in their place, say of themselves.
 namespace ferryrock::fuzz {
@@ -13,7 +13,7 @@
 void checkReport(const wire::ReplicaReport& report) {
   const bool usable = wire::replicaName(report.id) == kName &&
                       report.address.find(':') != std::string::npos && report.slow_start_ms >= 0 &&
-                      report.ends_in_ms.value_or(0) >= 0;
+                      report.terminates_in_ms.value_or(0) >= 0;
   if (!usable) {
     throw PromiseBroken("a report was accepted that names no replica to use");
   }
--- a/tests/http/client_test.cc
+++ b/tests/http/client_test.cc
@@ -18,7 +18,7 @@
 #include "http/fixture.h"
 #include "http/http.h"
 #include "http/raw_peer.h"
-#include "http/silence_limits.h"
+#include "http/unresponsive_peer_timeouts.h"
 
 namespace ferryrock::http {
 namespace {
--- a/tests/placement/planner_test.cc
+++ b/tests/placement/planner_test.cc
@@ -42,7 +42,7 @@
   cell.addModel(makeModel("diagnosis", 40, 4));
   cell.settings[ModelName{"diagnosis"}].concurrency = 400;
   PlannerPolicies policies = defaultPolicies();
-  policies.replica_count = std::make_unique<UnmergedReplicaCount>();
+  policies.replica_count = std::make_unique<PerRouterReplicaCount>();
   cell.start(std::move(policies));
   for (int router = 0; router < 3; ++router) {
     cell.demand("diagnosis", 10, 0, "router-" + std::to_string(router));
--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -6,7 +6,7 @@
 #include "platform/catalog_json.h"
 #include "platform/order_dialect.h"
 #include "platform/replica_json.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// The translations of platform/, case by case.
 namespace ferryrock::platform {
@@ -164,10 +164,10 @@
 }
 
 TEST_CASE("Only a marked answer or 421 proves that a call wasn't run") {
-  CHECK(kDialect.summarize(503, {{"X-Not-Executed", "1"}}).unrun);
-  CHECK(kDialect.summarize(421, {}).unrun);
-  CHECK_FALSE(kDialect.summarize(503, {}).unrun);
-  CHECK_FALSE(kDialect.summarize(500, {}).unrun);
+  CHECK(kDialect.summarize(503, {{"X-Not-Executed", "1"}}).proven_not_run);
+  CHECK(kDialect.summarize(421, {}).proven_not_run);
+  CHECK_FALSE(kDialect.summarize(503, {}).proven_not_run);
+  CHECK_FALSE(kDialect.summarize(500, {}).proven_not_run);
 }
 
 TEST_CASE("What a replica says of itself is read from the head of any answer but a misdirected one's") {
@@ -208,7 +208,7 @@
     INFO(given.status << " '" << given.text << "'");
     const calls::ReplicaNotice notice = kDialect.notice(given.status, {{"Retry-After", given.text}});
     CHECK(notice.retry_after == given.read);
-    CHECK(notice.unread_retry_after == (given.read ? "" : given.text));
+    CHECK(notice.malformed_retry_after == (given.read ? "" : given.text));
   }
   CHECK(kDialect.notice(200, {{"Retry-After", "3"}}).empty());
   CHECK(kDialect.notice(421, {{"Retry-After", "3"}}).empty());
@@ -241,19 +241,19 @@
       INFO(status << " '" << given.text << "'");
       const calls::ReplicaNotice notice = kDialect.notice(status, {{"server-limit", given.text}});
       CHECK(notice.calls_per_second == given.read);
-      CHECK(notice.unread_limit == (given.read ? "" : given.text));
-      CHECK_FALSE(notice.names_no_limit);
+      CHECK(notice.malformed_limit == (given.read ? "" : given.text));
+      CHECK_FALSE(notice.limit_absent);
     }
   }
-  CHECK(kDialect.notice(200, {{"Server-Limit", ""}}).unread_limit == "(empty)");
+  CHECK(kDialect.notice(200, {{"Server-Limit", ""}}).malformed_limit == "(empty)");
   CHECK(kDialect.notice(200, {{"Server-Limit", "4"}, {"Server-Limit", "2"}}).calls_per_second == 2);
   CHECK(kDialect.notice(421, {{"Server-Limit", "4"}}).empty());
 }
 
 TEST_CASE("Only an answer of a call that ran says by its silence that a replica has no limit") {
-  CHECK(kDialect.notice(200, {}).names_no_limit);
+  CHECK(kDialect.notice(200, {}).limit_absent);
   for (const int status : {404, 421, 429, 500, 503}) {
-    CHECK_FALSE(kDialect.notice(status, {}).names_no_limit);
+    CHECK_FALSE(kDialect.notice(status, {}).limit_absent);
   }
 }
 
@@ -295,7 +295,7 @@
 TEST_CASE("A configuration's tenants are read, and an absent limit is none") {
   const wire::ServiceCatalog catalog = parseCatalog(kTenants);
   CHECK(catalog.has_tenants);
-  CHECK(catalog.routes.at(0).open_to_all);
+  CHECK(catalog.routes.at(0).allows_anonymous);
   REQUIRE(catalog.tenants.size() == 3);
   CHECK(catalog.tenants[0].keys == std::vector<std::string>{"secret-1", "secret-2"});
   CHECK(catalog.tenants[0].priority == 1U);
@@ -322,8 +322,8 @@
   CHECK(catalog.version == CatalogVersion{7});
   REQUIRE(catalog.routes.size() == 2);
   CHECK(catalog.routes[0].kind == wire::CallKind::Streaming);
-  CHECK(catalog.routes[0].patience_ms == 24000);  // four times the objective
-  CHECK(catalog.routes[1].patience_ms == 0);
+  CHECK(catalog.routes[0].caller_idle_timeout_ms == 24000);  // four times the objective
+  CHECK(catalog.routes[1].caller_idle_timeout_ms == 0);
   CHECK(catalog.routes[0].resumable);
   CHECK(catalog.routes[0].affinity);
   CHECK(catalog.routes[1].targets[0].weight == 90);
@@ -350,9 +350,9 @@
   const wire::ReplicaReport report = parseHeartbeat("i-1", body);
   CHECK(report.id == ReplicaId("i-1"));
   CHECK(report.leaving);
-  CHECK(report.ends_in_ms == 2000);
+  CHECK(report.terminates_in_ms == 2000);
   CHECK(report.sequence == 4);
-  CHECK(report.held == std::vector<wire::HeldModel>{{ModelName("m"), {"a1"}}});
+  CHECK(report.held == std::vector<wire::LoadedModel>{{ModelName("m"), {"a1"}}});
   CHECK(report.on_disk.size() == 2);
   CHECK_THROWS_AS(parseHeartbeat("i-1", "{}"), Error);
   CHECK(parseLeave("i-1", "").leaving);
@@ -374,14 +374,14 @@
 
 TEST_CASE("A replica's life is told by its start, and towards replicas its name stands alone") {
   const wire::ReplicaReport report = parseHeartbeat("i-1", kHeartbeat);
-  CHECK(report.id == wire::replicaLife("i-1", 1'780'000'000'123));
+  CHECK(report.id == wire::replicaIncarnationId("i-1", 1'780'000'000'123));
   CHECK(parseLeave("i-1", kHeartbeat).id == report.id);
   CHECK(parseLeave("i-1", "").id == ReplicaId("i-1"));
   services::InspectReplicaEffect inspection;
   inspection.replica = report.id;
   const PlatformOrderDialect orders;
   CHECK(http::findHeader(orders.inspection(inspection).headers, "X-Expect-Instance") == "i-1");
-  CHECK(orders.state(200, R"({"seqNo":3,"born":1780000000123})")->born == 1'780'000'000'123);
+  CHECK(orders.state(200, R"({"seqNo":3,"born":1780000000123})")->start_ms == 1'780'000'000'123);
   calls::ProbeReplicaEffect probe;
   probe.replica = report.id;
   CHECK(http::findHeader(kDialect.probe(probe).headers, "X-Expect-Instance") == "i-1");
@@ -464,16 +464,16 @@
       request.body ==
       R"({"adapter":"a3","expected":2,"fencingToken":41,"holder":"core-1","model":"m","opType":"model_load"})");
   CHECK(http::findHeader(request.headers, "X-Expect-Instance") == "i-1");
-  CHECK(orders.outcome(202) == services::OrderOutcome::Taken);
+  CHECK(orders.outcome(202) == services::OrderOutcome::Accepted);
   CHECK(orders.outcome(200) == services::OrderOutcome::AlreadyHeld);
   CHECK(orders.outcome(409) == services::OrderOutcome::Conflict);
   CHECK(orders.outcome(412) == services::OrderOutcome::Refused);
   const auto state = orders.state(
       200, R"({"seqNo":3,"busy":true,"models":[{"name":"m","adapters":[]}],"pending":["m/a3@1"]})");
   REQUIRE(state.has_value());
-  CHECK(state->orders_taken == 3);
+  CHECK(state->accepted_orders == 3);
   CHECK(state->busy);
-  CHECK(state->coming == std::vector<wire::HeldModel>{{ModelName("m"), {"a3"}}});
+  CHECK(state->pending_adapters == std::vector<wire::LoadedModel>{{ModelName("m"), {"a3"}}});
   CHECK_FALSE(orders.state(200, "{").has_value());
 }
 
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -22,42 +22,42 @@
 
 TEST_CASE("A call is quarantined at its third crashed replica, whichever process recorded the crashes") {
   CrashLedger ledger;
-  CHECK(ledger.standing(kCall) == Standing::Unsuspected);
-  CHECK(ledger.noteEnd(kCall, replica(1), kStart));
-  CHECK_FALSE(ledger.noteEnd(kCall, replica(1), kStart));
-  CHECK(ledger.standing(kCall) == Standing::Suspected);
-  CHECK(ledger.noteEnd(kCall, replica(2), kStart));
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Unsuspected);
+  CHECK(ledger.recordCrash(kCall, replica(1), kStart));
+  CHECK_FALSE(ledger.recordCrash(kCall, replica(1), kStart));
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Suspected);
+  CHECK(ledger.recordCrash(kCall, replica(2), kStart));
   CHECK(ledger.merge({kCall, {{replica(3), false}}, 500}, kStart + 1s));
-  CHECK(ledger.standing(kCall) == Standing::Quarantined);
-  CHECK(ledger.standing(kOther) == Standing::Unsuspected);
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Quarantined);
+  CHECK(ledger.quarantineState(kOther) == QuarantineState::Unsuspected);
   CHECK(ledger.quarantined().size() == 1);
 }
 
 TEST_CASE("After an answer the earlier crashes no longer count, even if they are reported again") {
   CrashLedger ledger;
-  ledger.noteEnd(kCall, replica(1), kStart);
-  ledger.noteEnd(kCall, replica(2), kStart);
+  ledger.recordCrash(kCall, replica(1), kStart);
+  ledger.recordCrash(kCall, replica(2), kStart);
   const wire::CrashRecord before = ledger.record(kCall, kStart);
-  CHECK(ledger.noteAnswer(kCall));
-  CHECK_FALSE(ledger.noteAnswer(kCall));
+  CHECK(ledger.recordAnswer(kCall));
+  CHECK_FALSE(ledger.recordAnswer(kCall));
   CHECK_FALSE(ledger.merge(before, kStart));
-  CHECK(ledger.standing(kCall) == Standing::Unsuspected);
-  ledger.noteEnd(kCall, replica(3), kStart);
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Unsuspected);
+  ledger.recordCrash(kCall, replica(3), kStart);
   CHECK(ledger.ends(kCall) == 1);
 }
 
 TEST_CASE("A suspicion expires before a quarantine, and both start at the last crash") {
   CrashLedger ledger;
   const CrashLedgerSettings settings;
-  ledger.noteEnd(kOther, replica(1), kStart);
-  for (std::size_t i = 1; i <= settings.ends_borne; ++i) {
-    ledger.noteEnd(kCall, replica(i), kStart + 1s);
+  ledger.recordCrash(kOther, replica(1), kStart);
+  for (std::size_t i = 1; i <= settings.crash_threshold; ++i) {
+    ledger.recordCrash(kCall, replica(i), kStart + 1s);
   }
   CHECK(ledger.left(kCall, kStart + 1s) == settings.quarantine);
   CHECK(ledger.left(kOther, kStart) == Duration::zero());
   ledger.expire(kStart + settings.suspicion);
   CHECK(ledger.ends(kOther) == 0);
-  CHECK(ledger.standing(kCall) == Standing::Quarantined);
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Quarantined);
   ledger.expire(kStart + 1s + settings.quarantine);
   CHECK(ledger.size() == 0);
   CHECK(ledger.digest() == 0);
@@ -76,18 +76,18 @@
   CrashLedgerSettings settings;
   settings.max_calls = 10;
   CrashLedger ledger(settings);
-  for (std::size_t i = 1; i <= settings.ends_borne; ++i) {
-    ledger.noteEnd(kCall, replica(i), kStart);
+  for (std::size_t i = 1; i <= settings.crash_threshold; ++i) {
+    ledger.recordCrash(kCall, replica(i), kStart);
   }
   for (std::uint64_t i = 0; i < 1000; ++i) {
-    ledger.noteEnd({100, i}, replica(i), kStart + std::chrono::milliseconds(i));
+    ledger.recordCrash({100, i}, replica(i), kStart + std::chrono::milliseconds(i));
     REQUIRE(ledger.size() <= settings.max_calls);
   }
-  CHECK(ledger.standing(kCall) == Standing::Quarantined);
+  CHECK(ledger.quarantineState(kCall) == QuarantineState::Quarantined);
   CHECK(ledger.ends({100, 999}) == 1);
   CHECK(ledger.ends({100, 0}) == 0);
   for (std::size_t i = 0; i < 1000; ++i) {
-    ledger.noteEnd(kCall, replica(i), kStart);
+    ledger.recordCrash(kCall, replica(i), kStart);
   }
   CHECK(ledger.record(kCall, kStart).ended.size() <= 16);
 }
@@ -100,9 +100,9 @@
     for (const int step : steps) {
       const wire::CallFingerprint call{1, static_cast<std::uint64_t>(step % 2)};
       if (step < 9) {
-        source.noteEnd(call, replica(static_cast<std::size_t>(step)), kStart);
+        source.recordCrash(call, replica(static_cast<std::size_t>(step)), kStart);
       } else {
-        source.noteAnswer(call);
+        source.recordAnswer(call);
       }
       told.push_back(source.record(call, kStart));
     }
@@ -120,7 +120,7 @@
     }
     RC_ASSERT(other.digest() == source.digest());
     for (std::uint64_t i = 0; i < 2; ++i) {
-      RC_ASSERT(other.standing({1, i}) == source.standing({1, i}));
+      RC_ASSERT(other.quarantineState({1, i}) == source.quarantineState({1, i}));
     }
   });
 }
--- a/tests/router_process/fake_control.cc
+++ b/tests/router_process/fake_control.cc
@@ -65,7 +65,7 @@
   update.revision = LogIndex(++revision_);
   update.tree_version = tree_version_;
   update.full = true;
-  update.interests_wanted = !status.all_interests;
+  update.requests_interests = !status.all_interests;
   for (const ModelName& name : status.added_interests) {
     const auto found = entries_.find(name);
     if (found == entries_.end()) {
--- a/tests/service_process/replica_client_test.cc
+++ b/tests/service_process/replica_client_test.cc
@@ -21,8 +21,8 @@
  public:
   ParsedCall parse(http::Request) const override { throw Error(ResultCode::Internal, "not used"); }
   http::Headers callerHeaders(const http::Headers& headers) const override { return headers; }
-  HttpAnswer refusal(const RequestId&, ResultCode, bool, std::optional<Duration>,
-                     const std::string&) const override {
+  HttpResponse refusal(const RequestId&, ResultCode, bool, std::optional<Duration>,
+                       const std::string&) const override {
     return {};
   }
   http::ClientRequest attempt(const calls::SendAttemptEffect& effect,
@@ -51,7 +51,7 @@
     return request;
   }
   calls::ProbeOutcome probeOutcome(int status) const override {
-    return status == 421 ? calls::ProbeOutcome::Ended : calls::ProbeOutcome::Lives;
+    return status == 421 ? calls::ProbeOutcome::Terminated : calls::ProbeOutcome::Alive;
   }
 };
 
@@ -167,15 +167,17 @@
   const std::vector<AnswerCase> cases = {
       {"with length", answerText("Content-Length: 2\r\n", "ok"), false, std::nullopt, "ok"},
       {"ends with the connection", answerText("", "whole"), false, std::nullopt, "whole"},
-      {"reset without length", answerText("", "half"), true, AttemptFailure::Unproved, ""},
-      {"cut in its length", answerText("Content-Length: 9\r\n", "half"), false, AttemptFailure::Unproved, ""},
+      {"reset without length", answerText("", "half"), true, AttemptFailure::OutcomeUnknown, ""},
+      {"cut in its length", answerText("Content-Length: 9\r\n", "half"), false,
+       AttemptFailure::OutcomeUnknown, ""},
       {"cut between chunks", answerText("Transfer-Encoding: chunked\r\n", "2\r\nok\r\n"), false,
-       AttemptFailure::Unproved, ""},
+       AttemptFailure::OutcomeUnknown, ""},
       {"another call's", "HTTP/1.1 200 OK\r\nCall-Id: c0\r\nContent-Length: 2\r\n\r\nno", false,
-       AttemptFailure::Foreign, ""},
-      {"without an id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", false, AttemptFailure::Foreign, ""},
-      {"no HTTP", "garbage\r\n\r\n", false, AttemptFailure::Unproved, ""},
-      {"nothing", "", false, AttemptFailure::Unproved, ""},
+       AttemptFailure::ForeignResponse, ""},
+      {"without an id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", false,
+       AttemptFailure::ForeignResponse, ""},
+      {"no HTTP", "garbage\r\n\r\n", false, AttemptFailure::OutcomeUnknown, ""},
+      {"nothing", "", false, AttemptFailure::OutcomeUnknown, ""},
   };
   for (const AnswerCase& given : cases) {
     INFO(given.name);
@@ -211,7 +213,7 @@
   });
   Fixture fixture;
   CHECK(fixture.run(server.port()).body == "ok");
-  CHECK(fixture.run(server.port()).failure == calls::AttemptFailure::Unproved);
+  CHECK(fixture.run(server.port()).failure == calls::AttemptFailure::OutcomeUnknown);
   CHECK(requests == 2);
 }
 
--- a/tests/service_process/settings_test.cc
+++ b/tests/service_process/settings_test.cc
@@ -25,12 +25,12 @@
       "listen_control: 10.0.0.1:80\nlisten_directory: 10.0.0.1:81\ndata_folder: data\n";
   SettingsReader plain = SettingsReader::fromText(control, "settings");
   const services::PlacementSwitches on = readServiceControlSettings(plain).placement;
-  CHECK((on.learned_store_width && on.near_weights_first && on.expected_times && on.prompt_doubts));
+  CHECK((on.estimated_store_width && on.local_weights_first && on.expected_times && on.prompt_inspections));
   SettingsReader switched =
       SettingsReader::fromText(control + "placement_near_weights_first: false\n", "settings");
   const services::PlacementSwitches off = readServiceControlSettings(switched).placement;
-  CHECK_FALSE(off.near_weights_first);
-  CHECK((off.learned_store_width && off.expected_times && off.prompt_doubts));
+  CHECK_FALSE(off.local_weights_first);
+  CHECK((off.estimated_store_width && off.expected_times && off.prompt_inspections));
 }
 
 TEST_CASE(
@@ -39,9 +39,9 @@
       "node: core-1\nhost: 10.0.0.1\ninternal_port: 7000\nseeds: [\"10.0.0.1:80\"]\n"
       "listen_control: 10.0.0.1:80\nlisten_directory: 10.0.0.1:81\ndata_folder: data\n";
   SettingsReader plain = SettingsReader::fromText(control, "settings");
-  CHECK_FALSE(readServiceControlSettings(plain).tells_loads);
+  CHECK_FALSE(readServiceControlSettings(plain).publishes_loads);
   SettingsReader on = SettingsReader::fromText(control + "balance_by_fleet_load: true\n", "settings");
-  CHECK(readServiceControlSettings(on).tells_loads);
+  CHECK(readServiceControlSettings(on).publishes_loads);
   SettingsReader broken = SettingsReader::fromText(control + "balance_by_fleet_load: 7\n", "settings");
   CHECK_THROWS_AS(readServiceControlSettings(broken), Error);
 }
--- a/tests/services/catalog_spread_test.cc
+++ b/tests/services/catalog_rollout_test.cc
@@ -1,4 +1,4 @@
-#include "services/catalog_spread.h"
+#include "services/catalog_rollout.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,7 +15,7 @@
     record.status.catalog = CatalogVersion{version};
     record.last_contact = now;
   }
-  std::optional<CatalogSpreadEffect> poll(std::uint64_t version) {
+  std::optional<CatalogRolloutEffect> poll(std::uint64_t version) {
     return rollout.poll(CatalogVersion{version}, routers, now);
   }
   TimePoint now{1000s};
@@ -54,7 +54,7 @@
   CHECK(rollout->behind == 1);
   CHECK(rollout->router == NodeName("edge-1"));
   CHECK(rollout->held == CatalogVersion{4});
-  CHECK(rollout->silent == 1s);
+  CHECK(rollout->last_contact_age == 1s);
   fleet.now += 500ms;
   CHECK_FALSE(fleet.poll(5));
   fleet.now += 2s;
--- a/tests/services/crashing_fleet.cc
+++ b/tests/services/crashing_fleet.cc
@@ -169,7 +169,7 @@
   cluster.schedule(2 * kNetworkDelay, [this, &router, probe] {
     const Replica* replica = replicaAt(probe.address);
     const bool alive = replica != nullptr && replica->up && replica->id == probe.replica;
-    const auto outcome = alive ? calls::ProbeOutcome::Lives : calls::ProbeOutcome::Ended;
+    const auto outcome = alive ? calls::ProbeOutcome::Alive : calls::ProbeOutcome::Terminated;
     cluster.actRouter(router, [replica = probe.replica, outcome](calls::CallRouter& logic, TimePoint now) {
       return logic.onProbed(replica, outcome, now);
     });
@@ -219,7 +219,7 @@
   for (const RunningCall& call : std::exchange(replica.running, {})) {
     cluster.schedule(kNetworkDelay, [this, call] {
       cluster.actRouter(*call.router, [call](calls::CallRouter& logic, TimePoint now) {
-        return logic.onFailure(call.attempt, calls::AttemptFailure::Unproved, "connection ended", now);
+        return logic.onFailure(call.attempt, calls::AttemptFailure::OutcomeUnknown, "connection ended", now);
       });
     });
   }
--- a/tests/services/evacuation_test.cc
+++ b/tests/services/evacuation_test.cc
@@ -132,9 +132,10 @@
 TEST_CASE("An evacuation acknowledged just before the leader fails takes effect under the next leader") {
   ZonedFleet fleet;
   ServiceMember& former = *fleet.cluster.leader();
-  const std::uint64_t question = fleet.cluster.evacuate(former, "a", true);
-  REQUIRE(fleet.cluster.runUntil([&] { return ServiceCluster::codeOf(former, question).has_value(); }, 1s));
-  REQUIRE(ServiceCluster::codeOf(former, question) == ResultCode::Ok);
+  const std::uint64_t request_number = fleet.cluster.evacuate(former, "a", true);
+  REQUIRE(
+      fleet.cluster.runUntil([&] { return ServiceCluster::codeOf(former, request_number).has_value(); }, 1s));
+  REQUIRE(ServiceCluster::codeOf(former, request_number) == ResultCode::Ok);
   fleet.cluster.kill(former);
   fleet.cluster.runFor(5s);
   CHECK_FALSE(fleet.open("a1"));
@@ -198,7 +199,7 @@
     report.held = {{ModelName("m2"), {}}};
     return report;
   }());
-  fleet.router.wants = {{ServiceName("llm"), ModelName("m2"), "", 0, 1, 1}};
+  fleet.router.model_calls = {{ServiceName("llm"), ModelName("m2"), "", 0, 1, 1}};
   fleet.cluster.runFor(1s);
   fleet.cluster.orders.clear();
   REQUIRE(fleet.cluster.evacuateAcknowledged("a", true));
--- a/tests/services/fleet_event_test.cc
+++ b/tests/services/fleet_event_test.cc
@@ -141,7 +141,7 @@
   greedy.replicas.clear();  // received before it subscribed
   fleet.cluster.runFor(2s);
   CHECK_FALSE(greedy.replicas.empty());
-  CHECK(greedy.replicas.size() <= ReplicaChoice::kMostOfGroup * (kModels + 1));
+  CHECK(greedy.replicas.size() <= ReplicaChoice::kMaxPerGroup * (kModels + 1));
   callModels(fleet);
   CHECK(fleet.refused() == 0);
   // After the router has vanished, its subscriptions are removed and cause no further updates.
--- a/tests/services/fleet_load_test.cc
+++ b/tests/services/fleet_load_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "services/service_cluster.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// Tests that routers balance calls by the load and speed of replicas as aggregated over all routers, and by
 /// their own calls alone when no aggregate arrives.
@@ -24,7 +24,7 @@
 class UnevenFleet {
  public:
   explicit UnevenFleet(std::uint64_t seed) : cluster(3, 1, seed), random_(seed) {
-    cluster.tells_loads = true;
+    cluster.publishes_loads = true;
     for (std::size_t i = 0; i < 3; ++i) {
       cluster.kill(cluster.member(i));
       cluster.start(cluster.member(i));
@@ -84,7 +84,7 @@
     for (std::size_t i = 0; i < 3; ++i) {
       if (cluster.member(i).control) {
         wire::ReplicaReport report = makeReport(name, "llm", sequence);
-        report.id = wire::replicaLife(name, starts_.at(name));
+        report.id = wire::replicaIncarnationId(name, starts_.at(name));
         report.slots = 64;
         report.held = {{ModelName("m0"), {}}};
         cluster.report(cluster.member(i), report);
@@ -208,7 +208,7 @@
 /// entries.
 TEST_CASE("No load updates are sent to a fleet too large to receive them in time") {
   ServiceCluster cluster(3, 1, 1);
-  cluster.tells_loads = true;
+  cluster.publishes_loads = true;
   for (std::size_t i = 0; i < 3; ++i) {
     cluster.kill(cluster.member(i));
     cluster.start(cluster.member(i));
@@ -222,9 +222,9 @@
   }
   const auto serve = [&](std::uint32_t replicas) {
     for (ScriptedRouter* router : routers) {
-      router->status.uses.clear();
+      router->status.local_loads.clear();
       for (std::uint32_t replica = 1; replica <= replicas; ++replica) {
-        router->status.uses.push_back({replica, 1, 0, 0});
+        router->status.local_loads.push_back({replica, 1, 0, 0});
       }
     }
     cluster.runFor(4s);
--- a/tests/services/large_fleet_test.cc
+++ b/tests/services/large_fleet_test.cc
@@ -24,7 +24,7 @@
   /// Makes calls at each router wait for a model that no replica has loaded.
   void waitForModel() {
     for (ScriptedRouter* router : routers) {
-      router->wants = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
+      router->model_calls = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
     }
   }
   std::size_t sentUpdates() const {
@@ -65,7 +65,7 @@
   const std::size_t before = fleet.sentUpdates();
   for (int i = 0; i < kStatusRounds; ++i) {
     for (ScriptedRouter* router : fleet.routers) {
-      fleet.cluster.tell(*router);
+      fleet.cluster.sendStatus(*router);
     }
     fleet.cluster.runFor(10ms);
   }
@@ -103,11 +103,11 @@
     fleet.cluster.report(*fleet.cluster.leader(), makeReport("r" + std::to_string(i), "llm", 1));
   }
   fleet.cluster.runFor(2s);
-  fleet.cluster.most_entries_per_tick = 0;
+  fleet.cluster.max_entries_per_tick = 0;
   fleet.cluster.kill(*fleet.cluster.leader());
   fleet.cluster.runFor(4s);
-  CHECK(fleet.cluster.most_entries_per_tick >= kReplicas);
-  CHECK(fleet.cluster.most_entries_per_tick <= kMaxEntries);
+  CHECK(fleet.cluster.max_entries_per_tick >= kReplicas);
+  CHECK(fleet.cluster.max_entries_per_tick <= kMaxEntries);
   const Term term = fleet.cluster.leader()->control->view(fleet.cluster.now()).term;
   for (const ScriptedRouter* router : fleet.routers) {
     CHECK(router->replicas.size() == kReplicas);
@@ -119,7 +119,7 @@
   constexpr std::size_t kMaxUpdatesPerEvent = 128;
   for (const std::size_t size : {200, 400}) {
     LargeFleet fleet(size);
-    fleet.cluster.most_updates_per_event = 0;
+    fleet.cluster.max_updates_per_event = 0;
     REQUIRE(fleet.cluster.replaceAcknowledged(2));
     fleet.cluster.runFor(1s);
     const std::size_t behind = static_cast<std::size_t>(
@@ -131,8 +131,8 @@
     fleet.waitForModel();
     fleet.cluster.runFor(5s);
     REQUIRE(fleet.cluster.leader() != nullptr);
-    INFO(size << " routers, " << fleet.cluster.most_updates_per_event << " updates at once");
-    CHECK(fleet.cluster.most_updates_per_event <= kMaxUpdatesPerEvent);
+    INFO(size << " routers, " << fleet.cluster.max_updates_per_event << " updates at once");
+    CHECK(fleet.cluster.max_updates_per_event <= kMaxUpdatesPerEvent);
   }
 }
 
@@ -150,7 +150,7 @@
   for (int i = 0; i < 40; ++i) {
     for (ScriptedRouter* router : fleet.routers) {
       if (router != &last) {
-        fleet.cluster.tell(*router);
+        fleet.cluster.sendStatus(*router);
       }
     }
     fleet.cluster.runFor(50ms);
--- a/tests/services/limited_fleet.cc
+++ b/tests/services/limited_fleet.cc
@@ -43,7 +43,7 @@
 void LimitedFleet::answer(RunningRouter& router, const calls::SendAttemptEffect& sent) {
   calls::ReplicaNotice notice;
   notice.calls_per_second = limits_[sent.replica.value];
-  notice.names_no_limit = !notice.calls_per_second;
+  notice.limit_absent = !notice.calls_per_second;
   cluster.schedule(kHop, [this, &router, sent, notice] {
     if (notice.calls_per_second) {
       oracles_[sent.replica.value].limitReceived(router.node.value, cluster.now());
--- a/tests/services/model_placer_store_test.cc
+++ b/tests/services/model_placer_store_test.cc
@@ -24,7 +24,7 @@
 
 struct StoreReplica {
   ReplicaId id;
-  std::uint64_t orders_taken = 0;
+  std::uint64_t accepted_orders = 0;
   std::uint64_t sequence = 0;
   std::set<ModelName> held;
   std::vector<ModelName> on_disk;
@@ -84,8 +84,8 @@
 
   void run(Duration duration) {
     for (const TimePoint end = now + duration; now < end; now += kStep) {
-      demand_.accept(NodeName("edge"), wants(), now);
-      demand_.fade(now);
+      demand_.accept(NodeName("edge"), model_calls(), now);
+      demand_.decay(now);
       handle(placer_.plan(catalog_, {}, now));
       advance();
       max_loads_in_flight = std::max(max_loads_in_flight, loadsInFlight());
@@ -134,18 +134,18 @@
     settings.fence = Term{3};
     return settings;
   }
-  std::vector<wire::ModelWant> wants() {
-    std::vector<wire::ModelWant> wants;
+  std::vector<wire::ModelCallCounts> model_calls() {
+    std::vector<wire::ModelCallCounts> model_calls;
     for (const ModelName& model : requested_) {
       if (!held(model.value)) {
         const std::uint32_t arrivals = counted_arrivals_.insert(model).second ? 1 : 0;
-        wants.push_back({ServiceName("llm"), model, "", 1, 0, arrivals});
+        model_calls.push_back({ServiceName("llm"), model, "", 1, 0, arrivals});
       }
     }
     if (busy_model_) {
-      wants.push_back({ServiceName("llm"), *busy_model_, "", 0, running_, 1});
+      model_calls.push_back({ServiceName("llm"), *busy_model_, "", 0, running_, 1});
     }
-    return wants;
+    return model_calls;
   }
   StoreReplica& find(const ReplicaId& id) {
     return *std::find_if(replicas_.begin(), replicas_.end(), [&id](const auto& r) { return r.id == id; });
@@ -155,26 +155,26 @@
       orders_to_drop -= orders_to_drop > 0 ? 1 : 0;
       return OrderOutcome::Unanswered;
     }
-    if (replica.loading || order.expected != replica.orders_taken) {
+    if (replica.loading || order.expected != replica.accepted_orders) {
       return OrderOutcome::Conflict;
     }
-    ++replica.orders_taken;
+    ++replica.accepted_orders;
     if (order.action == OrderAction::Unload) {
       replica.held.erase(order.model);
       report(replica);
-      return OrderOutcome::Taken;
+      return OrderOutcome::Accepted;
     }
     const bool on_local_disk = std::count(replica.on_disk.begin(), replica.on_disk.end(), order.model) > 0;
     replica.loading = order.model;
     replica.remaining_ms = static_cast<double>(on_local_disk ? kDiskLoadMs : kStoreLoadMs);
-    return OrderOutcome::Taken;
+    return OrderOutcome::Accepted;
   }
   void handle(const PlacerEffects& effects) {
     for (const PlacerEffect& effect : effects) {
       if (const auto* inspection = std::get_if<InspectReplicaEffect>(&effect)) {
         const StoreReplica& replica = find(inspection->replica);
         ReplicaState state;
-        state.orders_taken = replica.orders_taken;
+        state.accepted_orders = replica.accepted_orders;
         state.busy = replica.loading.has_value();
         for (const ModelName& model : replica.held) {
           state.held.push_back({model, {}});
@@ -262,13 +262,13 @@
 /// A store that slows down during a load makes the load exceed any fixed time limit.
 TEST_CASE("An overdue load isn't ordered again while its replica is still executing it") {
   StoreSimulation world(1, 2, 1);
-  world.replicas()[0].orders_taken = 7;
+  world.replicas()[0].accepted_orders = 7;
   world.requestModels(0, 0);
   world.run(100ms);
   REQUIRE(world.replicas()[0].loading == ModelName("m0"));
   world.replicas()[0].remaining_ms = 40'000;
   world.run(39s);
-  CHECK(world.replicas()[0].orders_taken == 8);
+  CHECK(world.replicas()[0].accepted_orders == 8);
   world.run(2s);
   CHECK(world.held("m0"));
 }
--- a/tests/services/model_placer_test.cc
+++ b/tests/services/model_placer_test.cc
@@ -7,7 +7,7 @@
 
 #include "common/random.h"
 #include "services/service_cluster.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// Tests of the placer against replicas that leave orders unanswered, execute them late, check the expected
 /// order count, and crash if they are ordered to hold more than fits.
@@ -22,7 +22,7 @@
 /// Simulates a replica of the hosting platform.
 struct ScriptedReplica {
   ReplicaId id;
-  std::uint64_t orders_taken = 0;
+  std::uint64_t accepted_orders = 0;
   std::uint64_t sequence = 0;
   std::map<ModelName, std::set<std::string>> held;
   std::optional<ModelName> loading;
@@ -36,7 +36,7 @@
     return count;
   }
   OrderOutcome execute(const OrderReplicaEffect& order) {
-    if (order.expected != orders_taken || (order.adapter.empty() && loading)) {
+    if (order.expected != accepted_orders || (order.adapter.empty() && loading)) {
       return OrderOutcome::Conflict;
     }
     if (order.adapter.empty() && order.action == OrderAction::Load) {
@@ -57,8 +57,8 @@
     } else {
       held[order.model].erase(order.adapter);
     }
-    ++orders_taken;
-    return OrderOutcome::Taken;
+    ++accepted_orders;
+    return OrderOutcome::Accepted;
   }
   wire::ReplicaReport report() {
     wire::ReplicaReport message = makeReport(id.value, "llm", ++sequence);
@@ -69,7 +69,7 @@
   }
   ReplicaState state() const {
     ReplicaState message;
-    message.orders_taken = orders_taken;
+    message.accepted_orders = accepted_orders;
     message.busy = loading.has_value();
     for (const auto& [model, names] : held) {
       message.held.push_back({model, {names.begin(), names.end()}});
@@ -99,7 +99,7 @@
   void run(Duration duration) {
     for (const TimePoint end = time_ + duration; time_ < end; time_ += 20ms) {
       demand_.accept(NodeName("edge"), wants_, time_);
-      demand_.fade(time_);
+      demand_.decay(time_);
       handle(placer_.plan(catalog, unreachable, time_));
       for (auto delayed = delayed_orders_.begin(); delayed != delayed_orders_.end();) {
         if (delayed->first <= time_) {
@@ -124,7 +124,7 @@
   std::vector<ScriptedReplica>& replicas() { return replicas_; }
   std::size_t loads() const { return loads_; }
 
-  void setDemand(std::vector<wire::ModelWant> wants) { wants_ = std::move(wants); }
+  void setDemand(std::vector<wire::ModelCallCounts> model_calls) { wants_ = std::move(model_calls); }
   ModelPlacer& placer() { return placer_; }
   TimePoint now() const { return time_; }
   std::size_t copiesOf(const std::string& model) const {
@@ -173,7 +173,7 @@
   ModelDemand demand_;
   ModelPlacer placer_;
   std::vector<ScriptedReplica> replicas_;
-  std::vector<wire::ModelWant> wants_;
+  std::vector<wire::ModelCallCounts> wants_;
   std::deque<std::pair<TimePoint, OrderReplicaEffect>> delayed_orders_;
   std::size_t loads_ = 0;
 };
@@ -212,7 +212,7 @@
   };
   const auto report = [](std::uint64_t born, std::uint64_t sequence) {
     wire::ReplicaReport message = makeReport("r1", "llm", sequence);
-    message.id = wire::replicaLife("r1", born);
+    message.id = wire::replicaIncarnationId("r1", born);
     return message;
   };
   TimePoint now{1000s};
@@ -231,7 +231,7 @@
   const PlacerEffects second = plan(now);
   REQUIRE(second.size() == 1);
   const auto& load = std::get<OrderReplicaEffect>(second[0]);
-  placer.onOrderDone(load.number, OrderOutcome::Taken, now);
+  placer.onOrderDone(load.number, OrderOutcome::Accepted, now);
   wire::ReplicaReport loaded = report(2000, 2);
   loaded.held = {{load.model, {}}};
   registry.accept(loaded, now + 1s);
@@ -265,8 +265,8 @@
   }
 }
 
-wire::ModelWant callCounts(const std::string& model, std::uint32_t waiting, std::uint32_t running,
-                           std::uint32_t arrivals) {
+wire::ModelCallCounts callCounts(const std::string& model, std::uint32_t waiting, std::uint32_t running,
+                                 std::uint32_t arrivals) {
   return {ServiceName("llm"), ModelName(model), "", waiting, running, arrivals};
 }
 
@@ -281,14 +281,14 @@
   }
   constexpr int kTenths = 120;
   for (int tenth = 0; tenth < kTenths; ++tenth) {
-    std::vector<wire::ModelWant> wants = {callCounts("m0", 0, 5, 1)};
+    std::vector<wire::ModelCallCounts> model_calls = {callCounts("m0", 0, 5, 1)};
     for (int i = 0; i < 4; ++i) {
-      wants.push_back(callCounts("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
+      model_calls.push_back(callCounts("m" + std::to_string(8 + (tenth / 5 + 3 * i) % 12), 1, 0, 0));
     }
-    world.setDemand(wants);
+    world.setDemand(model_calls);
     world.run(20ms);
-    wants.front().arrivals = 0;
-    world.setDemand(wants);
+    model_calls.front().arrivals = 0;
+    world.setDemand(model_calls);
     world.run(80ms);
   }
   CHECK(world.copiesOf("m0") >= 2);
--- a/tests/services/registry_test.cc
+++ b/tests/services/registry_test.cc
@@ -8,7 +8,7 @@
 #include "services/table_feed.h"
 #include "services/update_ledger.h"
 #include "wire/recorded_messages.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 namespace ferryrock::services {
 namespace {
@@ -95,7 +95,7 @@
 /// A report of the incarnation of replica "r1" that started at this time.
 wire::ReplicaReport reportOfIncarnation(std::uint64_t born, std::uint64_t sequence) {
   wire::ReplicaReport report = makeReport("r1", "llm", sequence);
-  report.id = wire::replicaLife("r1", born);
+  report.id = wire::replicaIncarnationId("r1", born);
   return report;
 }
 
@@ -109,7 +109,7 @@
   const std::uint64_t changes = registry.changes();
   CHECK(registry.accept(reportOfIncarnation(2000, 1), kStart + 1s) == ReportOutcome::Changed);
   CHECK(registry.find(before.id) == nullptr);
-  const ReplicaRecord* record = registry.find(wire::replicaLife("r1", 2000));
+  const ReplicaRecord* record = registry.find(wire::replicaIncarnationId("r1", 2000));
   REQUIRE(record != nullptr);
   CHECK_FALSE(record->leaving);
   CHECK(record->usable().empty());
@@ -125,7 +125,7 @@
   next.address = "elsewhere:80";
   registry.accept(next, kStart + 1s);
   CHECK(registry.accept(reportOfIncarnation(1000, 41), kStart + 1s) == ReportOutcome::Stale);
-  registry.recordHeartbeat({wire::replicaLife("r1", 1000), 42}, kStart + 1s);
+  registry.recordHeartbeat({wire::replicaIncarnationId("r1", 1000), 42}, kStart + 1s);
   wire::ReplicaReport leaving = reportOfIncarnation(1000, 43);
   leaving.leaving = true;
   CHECK(registry.accept(leaving, kStart + 1s) == ReportOutcome::Stale);
@@ -145,9 +145,9 @@
   bare.id = ReplicaId("r1");
   bare.leaving = true;
   registry.accept(bare, kStart);
-  CHECK(registry.find(wire::replicaLife("r1", 2000))->leaving);
+  CHECK(registry.find(wire::replicaIncarnationId("r1", 2000))->leaving);
   CHECK(registry.accept(reportOfIncarnation(3000, 1), kStart + 1s) == ReportOutcome::Changed);
-  CHECK_FALSE(registry.find(wire::replicaLife("r1", 3000))->leaving);
+  CHECK_FALSE(registry.find(wire::replicaIncarnationId("r1", 3000))->leaving);
 }
 
 TEST_CASE("A report for an unconfigured service doesn't replace a replica that is alive at its address") {
@@ -323,7 +323,7 @@
   ReplicaRegistry registry;
   const auto registerReplica = [&registry](const char* name, std::uint64_t born) {
     wire::ReplicaReport replica_report = makeReport("r1", "desk", 1);
-    replica_report.id = wire::replicaLife(name, born);
+    replica_report.id = wire::replicaIncarnationId(name, born);
     replica_report.address = std::string(name) + ":80";
     registry.accept(replica_report, kStart);
   };
--- a/tests/services/replica_choice_test.cc
+++ b/tests/services/replica_choice_test.cc
@@ -49,7 +49,7 @@
   for (std::size_t router = 0; router < kRouters; ++router) {
     const wire::CallRouterStatus status = ChoiceFixture::statusOf(router);
     const auto chosen = fixture.choice.choose(status, {ServiceName("desk")});
-    REQUIRE(chosen.size() == ReplicaChoice::kMostOfGroup);
+    REQUIRE(chosen.size() == ReplicaChoice::kMaxPerGroup);
     const auto own = std::count_if(chosen.begin(), chosen.end(), [&status](const IndexedReplica* replica) {
       return replica->routed.zone == status.zone;
     });
@@ -59,7 +59,7 @@
       ++selections[replica->routed.id];
     }
   }
-  const std::size_t mean = kRouters * ReplicaChoice::kMostOfGroup / kReplicas;
+  const std::size_t mean = kRouters * ReplicaChoice::kMaxPerGroup / kReplicas;
   CHECK(selections.size() == kReplicas);
   for (const auto& [id, routers] : selections) {
     CHECK(routers <= 3 * mean);
@@ -78,9 +78,9 @@
   }
   status.interests.push_back({ServiceName("llm"), ModelName("m1"), ""});
   CHECK(fixture.choice.choose(status, {}).empty());
-  status.interests.erase(status.interests.begin() + ReplicaChoice::kMostInterests - 1,
+  status.interests.erase(status.interests.begin() + ReplicaChoice::kMaxInterests - 1,
                          status.interests.end() - 1);
-  CHECK(fixture.choice.choose(status, {}).size() == ReplicaChoice::kMostOfGroup);
+  CHECK(fixture.choice.choose(status, {}).size() == ReplicaChoice::kMaxPerGroup);
 }
 
 TEST_CASE("A replica that is leaving or has unloaded the model is no longer selected") {
@@ -88,7 +88,7 @@
   wire::CallRouterStatus status = ChoiceFixture::statusOf(2);
   status.interests = {{ServiceName("llm"), ModelName("m1"), "a1"}};
   const auto chosen = fixture.choice.choose(status, {});
-  REQUIRE(chosen.size() >= ReplicaChoice::kMostOfGroup);
+  REQUIRE(chosen.size() >= ReplicaChoice::kMaxPerGroup);
   const ReplicaId closed = chosen[0]->routed.id;
   const ReplicaId emptied = chosen[1]->routed.id;
   fixture.registry.markLeaving(closed);
--- a/tests/services/service_cluster.cc
+++ b/tests/services/service_cluster.cc
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-ServiceCluster::ServiceCluster(std::size_t founders, std::uint32_t losses_borne, std::uint64_t seed)
-    : random_(seed), tolerated_losses_(losses_borne) {
+ServiceCluster::ServiceCluster(std::size_t founders, std::uint32_t tolerated_losses, std::uint64_t seed)
+    : random_(seed), tolerated_losses_(tolerated_losses) {
   for (std::size_t i = 0; i < founders; ++i) {
     seeds_.push_back(nodeAt(i));
     wire::Member member;
@@ -71,8 +71,8 @@
   settings.control.log.retained_entries = 10;
   settings.http = member.node.value;
   settings.seeds = seeds_;
-  settings.losses_borne = tolerated_losses_;
-  settings.tells_loads = tells_loads;
+  settings.tolerated_losses = tolerated_losses_;
+  settings.publishes_loads = publishes_loads;
   member.control = createServiceControl(settings, member.storage->recover(), Random(random_.next()), clock_);
   act(member, [](ServiceControl& control, TimePoint now) { return control.tick(now); });
   const std::uint64_t starts = member.starts;
@@ -137,10 +137,10 @@
   return added;
 }
 
-void ServiceCluster::tell(ScriptedRouter& router) {
+void ServiceCluster::sendStatus(ScriptedRouter& router) {
   ++router.status.sequence;
   wire::CallRouterStatus status = router.status;
-  status.wants = router.wants;
+  status.model_calls = router.model_calls;
   for (const auto& member : members_) {
     deliver(router.status.router, member->node, status);
   }
@@ -148,7 +148,7 @@
 
 void ServiceCluster::sendStatusPeriodically(ScriptedRouter& router) {
   if (!router.silent) {
-    tell(router);
+    sendStatus(router);
   }
   after(kRouterInterval, [this, &router] { sendStatusPeriodically(router); });
 }
@@ -172,7 +172,7 @@
   if (update.confirm) {
     after(kConfirmDelay, [this, &router] {
       if (!router.silent) {
-        tell(router);
+        sendStatus(router);
       }
     });
   }
@@ -295,13 +295,13 @@
         after(kSyncDelay, [this, &member, starts = member.starts] { sync(member, starts); });
       }
     } else if (const auto* answer = std::get_if<AnswerEffect>(&effect)) {
-      member.answers[answer->question.value] = *answer;
+      member.answers[answer->request_number.value] = *answer;
     } else if (const auto* order = std::get_if<OrderReplicaEffect>(&effect)) {
       orders.emplace_back(member.node, *order);
       order_times.emplace_back(member.node, time_);
       after(kMessageDelay, [this, &member, number = order->number] {
         act(member, [number](ServiceControl& control, TimePoint now) {
-          return control.onOrderDone(number, OrderOutcome::Taken, now);
+          return control.onOrderDone(number, OrderOutcome::Accepted, now);
         });
       });
     } else if (const auto* inspection = std::get_if<InspectReplicaEffect>(&effect)) {
@@ -328,7 +328,7 @@
   try {
     if (std::exchange(member.disk_failed, false)) {
       member.disk_failed = true;
-      member.storage->mend();
+      member.storage->repair();
       member.disk_failed = false;
     }
     member.storage->persist(writes);
@@ -393,7 +393,7 @@
   limit_messages += std::holds_alternative<wire::LimitRequest>(message) ? 1 : 0;
   limit_messages += std::holds_alternative<wire::LimitReply>(message) ? 1 : 0;
   if (const auto* reports = std::get_if<wire::ReplicaReports>(&message)) {
-    lives_told += reports->reports.size() + reports->alive.size();
+    replica_reports_relayed += reports->reports.size() + reports->alive.size();
   }
   if (const auto* update = std::get_if<wire::ServiceUpdate>(&message)) {
     if (time_ - tick_begin_ >= kTickDelay) {
@@ -401,12 +401,12 @@
       entries_per_tick_ = 0;
     }
     ++updates_to[to];
-    most_updates_per_event = std::max(most_updates_per_event, ++event_updates_);
+    max_updates_per_event = std::max(max_updates_per_event, ++event_updates_);
     catalogs_sent += update->catalog ? 1 : 0;
     load_updates_sent += update->loads ? 1 : 0;
     entries_sent += update->replicas.size();
     entries_per_tick_ += update->replicas.size();
-    most_entries_per_tick = std::max(most_entries_per_tick, entries_per_tick_);
+    max_entries_per_tick = std::max(max_entries_per_tick, entries_per_tick_);
   }
 }
 
@@ -415,31 +415,32 @@
 }
 
 std::uint64_t ServiceCluster::replace(ServiceMember& member, const wire::ServiceCatalog& catalog) {
-  const QuestionNumber question{next_request_++};
+  const ControlRequestNumber request_number{next_request_++};
   const std::string source = "catalog " + std::to_string(catalog.version.value);
-  act(member, [question, catalog, source](ServiceControl& control, TimePoint now) {
-    return control.replaceCatalog(question, catalog, source, now);
+  act(member, [request_number, catalog, source](ServiceControl& control, TimePoint now) {
+    return control.replaceCatalog(request_number, catalog, source, now);
   });
-  return question.value;
+  return request_number.value;
 }
 
 std::uint64_t ServiceCluster::read(ServiceMember& member) {
-  const QuestionNumber question{next_request_++};
-  act(member,
-      [question](ServiceControl& control, TimePoint now) { return control.readCatalog(question, now); });
-  return question.value;
+  const ControlRequestNumber request_number{next_request_++};
+  act(member, [request_number](ServiceControl& control, TimePoint now) {
+    return control.readCatalog(request_number, now);
+  });
+  return request_number.value;
 }
 
 std::uint64_t ServiceCluster::report(ServiceMember& member, const wire::ReplicaReport& report) {
-  const QuestionNumber question{next_request_++};
-  act(member, [question, report](ServiceControl& control, TimePoint now) {
-    return control.onReport(question, report, now);
+  const ControlRequestNumber request_number{next_request_++};
+  act(member, [request_number, report](ServiceControl& control, TimePoint now) {
+    return control.onReport(request_number, report, now);
   });
-  return question.value;
+  return request_number.value;
 }
 
-std::optional<ResultCode> ServiceCluster::codeOf(const ServiceMember& member, std::uint64_t question) {
-  const auto found = member.answers.find(question);
+std::optional<ResultCode> ServiceCluster::codeOf(const ServiceMember& member, std::uint64_t request_number) {
+  const auto found = member.answers.find(request_number);
   return found == member.answers.end() ? std::nullopt : std::optional(found->second.code);
 }
 
@@ -452,11 +453,11 @@
 }
 
 std::uint64_t ServiceCluster::evacuate(ServiceMember& member, const std::string& zone, bool evacuated) {
-  const QuestionNumber question{next_request_++};
-  act(member, [question, zone, evacuated](ServiceControl& control, TimePoint now) {
-    return control.evacuateZone(question, ZoneName(zone), evacuated, now);
+  const ControlRequestNumber request_number{next_request_++};
+  act(member, [request_number, zone, evacuated](ServiceControl& control, TimePoint now) {
+    return control.evacuateZone(request_number, ZoneName(zone), evacuated, now);
   });
-  return question.value;
+  return request_number.value;
 }
 
 bool ServiceCluster::evacuateAcknowledged(const std::string& zone, bool evacuated) {
@@ -472,9 +473,9 @@
       return false;
     }
     ServiceMember& member = *leader();
-    const std::uint64_t question = send_request(member);
-    runUntil([&] { return codeOf(member, question).has_value() || !member.control; }, 5s);
-    if (codeOf(member, question) == ResultCode::Ok) {
+    const std::uint64_t request_number = send_request(member);
+    runUntil([&] { return codeOf(member, request_number).has_value() || !member.control; }, 5s);
+    if (codeOf(member, request_number) == ResultCode::Ok) {
       return true;
     }
     runFor(50ms);
@@ -486,10 +487,10 @@
   constexpr int kMaxAttempts = 200;
   for (int i = 0; i < kMaxAttempts; ++i) {
     if (ServiceMember* member = leader()) {
-      const std::uint64_t question = read(*member);
-      runUntil([&] { return codeOf(*member, question).has_value(); }, 2s);
-      if (codeOf(*member, question) == ResultCode::Ok) {
-        return member->answers[question].body;
+      const std::uint64_t request_number = read(*member);
+      runUntil([&] { return codeOf(*member, request_number).has_value(); }, 2s);
+      if (codeOf(*member, request_number) == ResultCode::Ok) {
+        return member->answers[request_number].body;
       }
     }
     runFor(50ms);
--- a/tests/services/service_cluster.h
+++ b/tests/services/service_cluster.h
@@ -40,7 +40,7 @@
 /// A minimal router that reports its status and applies updates as the production router does.
 struct ScriptedRouter {
   wire::CallRouterStatus status;
-  std::vector<wire::ModelWant> wants;
+  std::vector<wire::ModelCallCounts> model_calls;
   std::map<ReplicaId, wire::RoutedReplica> replicas;
   std::vector<CatalogVersion> versions;  ///< versions that were in force, in order
   std::size_t updates = 0;               ///< number of updates received
@@ -70,7 +70,7 @@
 
 class ServiceCluster {
  public:
-  explicit ServiceCluster(std::size_t founders, std::uint32_t losses_borne, std::uint64_t seed = 7);
+  explicit ServiceCluster(std::size_t founders, std::uint32_t tolerated_losses, std::uint64_t seed = 7);
 
   TimePoint now() const { return time_; }
   ServiceMember& member(std::size_t number) { return *members_.at(number); }
@@ -103,7 +103,7 @@
   /// A call with this API key arrives at the router.
   void call(RunningRouter& router, const std::string& key);
   /// Setting of members that are started later.
-  bool tells_loads = false;
+  bool publishes_loads = false;
   /// Setting of routers that are added or restarted later.
   std::optional<Duration> key_lifetime;
   /// Handles the effects of routers on callers and replicas; may be empty.
@@ -116,7 +116,7 @@
   void schedule(Duration delay, std::function<void()> action) { after(delay, std::move(action)); }
 
   /// Sends the router's status immediately, in addition to the periodic reports.
-  void tell(ScriptedRouter& router);
+  void sendStatus(ScriptedRouter& router);
 
   void runFor(Duration duration);
   bool runUntil(const std::function<bool()>& condition, Duration limit = std::chrono::seconds(30));
@@ -127,7 +127,7 @@
   std::uint64_t evacuate(ServiceMember& member, const std::string& zone, bool evacuated);
   std::uint64_t report(ServiceMember& member, const wire::ReplicaReport& report);
   /// Result of the request; nullopt: not answered yet.
-  static std::optional<ResultCode> codeOf(const ServiceMember& member, std::uint64_t question);
+  static std::optional<ResultCode> codeOf(const ServiceMember& member, std::uint64_t request_number);
   /// Replaces the catalog at the current leader, retrying until it is acknowledged; false after the time
   /// limit.
   bool replaceAcknowledged(std::uint64_t version, Duration limit = std::chrono::seconds(30));
@@ -147,11 +147,12 @@
   std::size_t catalogs_sent = 0;       ///< updates that contain a catalog
   std::map<NodeName, std::size_t> updates_to;
   std::size_t limit_messages = 0;  ///< messages between routers and leaders about replica limits
-  std::size_t lives_told = 0;      ///< replica reports, full or unchanged, that members send each other
+  std::size_t replica_reports_relayed =
+      0;  ///< replica reports, full or unchanged, that members send each other
   /// Maximum number of updates that a member sent in response to one event.
-  std::size_t most_updates_per_event = 0;
+  std::size_t max_updates_per_event = 0;
   /// Maximum number of replica entries in updates sent within one tick.
-  std::size_t most_entries_per_tick = 0;
+  std::size_t max_entries_per_tick = 0;
 
  private:
   struct Event {
--- a/tests/services/service_control_test.cc
+++ b/tests/services/service_control_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "services/service_cluster.h"
-#include "wire/replica_life.h"
+#include "wire/replica_incarnation.h"
 
 /// A cell of control members under faults: formation, durability, membership repair, replica drains and
 /// orders.
@@ -204,7 +204,7 @@
   }
   CHECK(router.updates - before >= 3);
   CHECK(router.updates - before <= 6);
-  router.wants = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
+  router.model_calls = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
   const std::size_t before_waiting = router.updates;
   for (int i = 0; i < 10; ++i) {
     cell.cluster.tell(router);
@@ -300,8 +300,8 @@
   ScriptedRouter& router = cell.cluster.addRouter("edge-1");
   cell.cluster.runFor(2s);
   const RunningRouter& running = cell.cluster.addCallRouter("edge-2");
-  const ReplicaId former = wire::replicaLife("r1", 1000);
-  const ReplicaId present = wire::replicaLife("r1", 2000);
+  const ReplicaId former = wire::replicaIncarnationId("r1", 1000);
+  const ReplicaId present = wire::replicaIncarnationId("r1", 2000);
   wire::ReplicaReport report = makeReport("r1", "desk", 40);
   report.id = former;
   report.leaving = true;
@@ -336,7 +336,7 @@
   for (std::size_t i = 1; i <= count; ++i) {
     const std::uint64_t request_number =
         cell.cluster.report(leader, makeReport("r" + std::to_string(i), "llm", sequence));
-    ++named[leader.answers.at(request_number).report_next];
+    ++named[leader.answers.at(request_number).next_report_address];
   }
   return named;
 }
@@ -360,7 +360,7 @@
   ServiceMember& follower = cell.follower();
   cell.cluster.runFor(500ms);
   const std::uint64_t request_number = cell.cluster.report(follower, makeReport("r7", "llm", 4));
-  CHECK(follower.answers.at(request_number).report_next == follower.node.value);
+  CHECK(follower.answers.at(request_number).next_report_address == follower.node.value);
   cell.cluster.kill(follower);
   cell.cluster.runFor(2500ms);
   CHECK_FALSE(nextMembers(cell, kMany, 5).contains(follower.node.value));
@@ -401,7 +401,7 @@
   REQUIRE(cell.cluster.replaceAcknowledged(1));
   wire::ReplicaReport report = makeReport("r1", "llm", 1);
   report.held = {{ModelName("m0"), {}}};
-  router.wants = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
+  router.model_calls = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
   const auto sendHeartbeat = [&] {
     ++report.sequence;
     cell.cluster.report(*cell.cluster.leader(), report);
--- a/tests/services/subscription_test.cc
+++ b/tests/services/subscription_test.cc
@@ -197,9 +197,9 @@
   constexpr std::size_t kSeconds = 10;
   const auto relayedReports = [=](std::size_t members) {
     SubscribedFleet fleet(4, kReplicas, members);
-    fleet.cluster.lives_told = 0;
+    fleet.cluster.replica_reports_relayed = 0;
     fleet.cluster.runFor(1s * kSeconds);
-    return fleet.cluster.lives_told;
+    return fleet.cluster.replica_reports_relayed;
   };
   for (const std::size_t members : {3, 5, 9}) {
     const std::size_t relayed = relayedReports(members);
--- a/tests/storage/mend_test.cc
+++ b/tests/storage/write_failure_test.cc
@@ -54,7 +54,7 @@
 /// Repairs the folder and persists the unwritten writes.
 void writeRest(LogStorage& storage) {
   const std::vector<consensus::PersistEffect> rest = storage.unwritten();
-  storage.mend();
+  storage.repair();
   storage.persist(rest);
 }
 
@@ -94,7 +94,7 @@
     disk.setSyncsFail(true);
     CHECK(faultOf([&] { storage->persist({make.entries(3, 3)}); }) == ResultCode::SyncFailed);
     for (int again = 0; again < 3; ++again) {
-      CHECK(faultOf([&] { storage->mend(); }) == ResultCode::SyncFailed);
+      CHECK(faultOf([&] { storage->repair(); }) == ResultCode::SyncFailed);
       CHECK(storage->unwritten().size() == 1);
     }
   }
@@ -134,7 +134,7 @@
     const auto storage = createLogStorage(disk.open(), kMember, kSmallSegment);
     CHECK(describe(storage->recover()) == "term 0 vote 0");
     CHECK(faultOf([&] { storage->persist({make.entries(1, 1)}); }) != ResultCode::Ok);
-    CHECK(faultOf([&] { storage->mend(); }) == ResultCode::DiskFull);
+    CHECK(faultOf([&] { storage->repair(); }) == ResultCode::DiskFull);
     disk.setCapacity(std::nullopt);
     writeRest(*storage);
   }
--- a/tests/tenancy/key_table_test.cc
+++ b/tests/tenancy/key_table_test.cc
@@ -22,7 +22,7 @@
 TEST_CASE("A lookup finds the tenant that holds the key and matches whole keys only") {
   const wire::ServiceCatalog catalog = catalogOf({tenant("a", {"key-1", "key-2"}), tenant("b", {"key-3"})});
   const KeyTable keys(catalog);
-  CHECK(keys.inUse());
+  CHECK(keys.requiresKeys());
   REQUIRE(keys.find("key-2") != nullptr);
   CHECK(keys.find("key-2")->name == TenantName("a"));
   CHECK(keys.find("key-3")->name == TenantName("b"));
@@ -32,10 +32,10 @@
 }
 
 TEST_CASE("Keys are checked as soon as the catalog has a tenant list, even an empty one") {
-  CHECK_FALSE(KeyTable(wire::ServiceCatalog{}).inUse());
-  CHECK(KeyTable(catalogOf({})).inUse());
+  CHECK_FALSE(KeyTable(wire::ServiceCatalog{}).requiresKeys());
+  CHECK(KeyTable(catalogOf({})).requiresKeys());
   const wire::ServiceCatalog without_keys = catalogOf({tenant("a", {})});
-  CHECK(KeyTable(without_keys).inUse());
+  CHECK(KeyTable(without_keys).requiresKeys());
 }
 
 }  // namespace
--- a/tests/tenancy/quota_history_test.cc
+++ b/tests/tenancy/quota_history_test.cc
@@ -57,7 +57,7 @@
   client.onUpdate(next_leader, {}, reported_at);
   next.accept(*client.message(next_leader, reported_at), reported_at);
   constexpr bool kComplete = true;
-  next.followRouters(std::map<NodeName, int>{{NodeName("edge-1"), 0}}, kComplete);
+  next.updateRouterHistory(std::map<NodeName, int>{{NodeName("edge-1"), 0}}, kComplete);
   std::uint64_t asked = 0;
   INFO("used at " << used_at.count() << " ms, reported " << report_delay.count() << " ms later");
   for (TimePoint at = reported_at + 10ms; at < used + 8s; at += 70ms) {
--- a/tests/tenancy/quota_load_test.cc
+++ b/tests/tenancy/quota_load_test.cc
@@ -86,7 +86,7 @@
   simulation.run(200ms, 61, 1'630);  // the routers receive the new leader's updates
   simulation.verdicts.clear();
   simulation.run(10s, 61, 1'630);
-  CHECK(simulation.verdicts[QuotaVerdict::Asked] == 0);
+  CHECK(simulation.verdicts[QuotaVerdict::Pending] == 0);
   CHECK(simulation.verdicts[QuotaVerdict::Unavailable] == 0);
   CHECK(simulation.verdicts[QuotaVerdict::Granted] > 500);
 }
--- a/tests/tenancy/quota_test.cc
+++ b/tests/tenancy/quota_test.cc
@@ -26,7 +26,7 @@
 
 void refundTo(QuotaClient& client, const TenantName& tenant, std::int64_t cost, const QuotaReply& reply,
               TimePoint now) {
-  client.giveBack(tenant, cost, reply.account, now);
+  client.returnCredit(tenant, cost, reply.account, now);
 }
 
 TEST_CASE("The credit granted in any window stays within rate x window + burst + one call") {
@@ -140,7 +140,7 @@
   report("edge-1", 100'000);
   report("edge-2", 100'000);
   constexpr bool kComplete = true;
-  ledger.followRouters(routers, kComplete);
+  ledger.updateRouterHistory(routers, kComplete);
   std::uint64_t sequence = 1;
   const auto granted = [&](TimePoint at) {
     wire::QuotaUse ask;
@@ -160,11 +160,11 @@
   ledger.accept(spent, kStart + 30ms);
   CHECK_FALSE(granted(kStart + 40ms));
   constexpr bool kIncomplete = false;
-  ledger.followRouters(routers, kIncomplete);
+  ledger.updateRouterHistory(routers, kIncomplete);
   CHECK_FALSE(granted(kStart + 50ms));
   report("edge-3", 0);
   report("edge-4", 0);
-  ledger.followRouters(routers, kComplete);
+  ledger.updateRouterHistory(routers, kComplete);
   CHECK(granted(kStart + 60ms));
 }
 
@@ -177,7 +177,7 @@
   wire::ServiceUpdate update;
   update.limited_tenants = {tenant.name};
   client.onUpdate(kLeader, update, kStart);
-  CHECK(client.request(1, tenant, 300, kStart).verdict == QuotaVerdict::Asked);
+  CHECK(client.request(1, tenant, 300, kStart).verdict == QuotaVerdict::Pending);
   REQUIRE(client.message(kLeader, kStart).has_value());
   client.abandon(1);
   wire::QuotaAnswer answer;
@@ -297,8 +297,8 @@
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   bool whole = false;
-  std::vector<wire::QuotaSpent> spent;
-  std::vector<wire::QuotaAsk> asks;
+  std::vector<wire::QuotaUsageTotal> spent;
+  std::vector<wire::QuotaCreditRequest> asks;
   FERRYROCK_FIELDS(LegacyQuotaUse, router, incarnation, sequence, whole, spent, asks)
 };
 
--- a/tests/tenancy/quota_world.h
+++ b/tests/tenancy/quota_world.h
@@ -135,7 +135,8 @@
   }
   void settle(std::uint64_t number, const QuotaReply& reply) {
     ++verdicts[reply.verdict];
-    const bool refused = reply.verdict == QuotaVerdict::Spent || reply.verdict == QuotaVerdict::Unavailable;
+    const bool refused =
+        reply.verdict == QuotaVerdict::Exhausted || reply.verdict == QuotaVerdict::Unavailable;
     refused_within_limit += refused && within_limit_[number] && granted_ < exact_granted_ ? 1 : 0;
     if (reply.verdict == QuotaVerdict::Granted) {
       ran.push_back({now_, static_cast<double>(costs_[number])});
@@ -144,14 +145,14 @@
   }
   void exchange() {
     for (QuotaClient& client : clients_) {
-      for (const QuotaResolved& one : client.tick(now_)) {
+      for (const QuotaRequestOutcome& one : client.tick(now_)) {
         settle(one.number, one.reply);
       }
       const auto use = client.message(leader_, now_);
       if (!use || !ledger_) {
         continue;
       }
-      for (const QuotaResolved& one : client.accept(ledger_->accept(*use, now_), now_)) {
+      for (const QuotaRequestOutcome& one : client.accept(ledger_->accept(*use, now_), now_)) {
         settle(one.number, one.reply);
       }
     }
--- a/tests/wire/recorded_messages_test.cc
+++ b/tests/wire/recorded_messages_test.cc
@@ -21,8 +21,8 @@
   return std::get<T>(envelope.message);
 }
 
-const std::vector<QuotaSpent> kSpent = {{TenantName("acme"), 1200}, {TenantName("zeta"), 5}};
-const std::vector<QuotaAsk> kAsks = {{9, TenantName("acme"), 300}};
+const std::vector<QuotaUsageTotal> kSpent = {{TenantName("acme"), 1200}, {TenantName("zeta"), 5}};
+const std::vector<QuotaCreditRequest> kAsks = {{9, TenantName("acme"), 300}};
 
 TEST_CASE("QuotaUse of a build without replica loads is decoded correctly") {
   const auto use = read<QuotaUse>(recorded::without_loads::kQuotaUse);
@@ -48,7 +48,7 @@
     const auto status = read<CallRouterStatus>(digits);
     CHECK(status.address == "10.0.0.1:80");
     CHECK(status.sequence == 4);
-    CHECK(status.wants.front().waiting == 2);
+    CHECK(status.model_calls.front().waiting == 2);
     CHECK(status.unreachable == std::vector<ReplicaId>{ReplicaId("r1")});
     CHECK(status.crash_digest == 11);
   }
@@ -59,7 +59,7 @@
     CHECK(update.removed == std::vector<ReplicaId>{ReplicaId("r2")});
     CHECK(update.limited_tenants == std::vector<TenantName>{TenantName("acme")});
   }
-  CHECK(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).uses.front().sent_tokens == 200);
+  CHECK(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).local_loads.front().sent_tokens == 200);
   CHECK(read<ServiceUpdate>(recorded::with_loads::kServiceUpdate).loads->front().slowness_percent == 120);
   for (const auto& digits : {recorded::without_loads::kQuotaAnswer, recorded::with_loads::kQuotaAnswer}) {
     CHECK(read<QuotaAnswer>(digits).decisions.front().granted);
@@ -67,10 +67,10 @@
 }
 
 TEST_CASE("The features of a peer's build are detected from the number of members that it encodes") {
-  CHECK_FALSE(read<ServiceUpdate>(recorded::without_loads::kServiceUpdate).readsQuotaHistories());
-  CHECK(read<ServiceUpdate>(recorded::with_loads::kServiceUpdate).readsQuotaHistories());
-  CHECK_FALSE(read<CallRouterStatus>(recorded::without_loads::kRouterStatus).knowsLives());
-  CHECK(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).knowsLives());
+  CHECK_FALSE(read<ServiceUpdate>(recorded::without_loads::kServiceUpdate).supportsQuotaHistories());
+  CHECK(read<ServiceUpdate>(recorded::with_loads::kServiceUpdate).supportsQuotaHistories());
+  CHECK_FALSE(read<CallRouterStatus>(recorded::without_loads::kRouterStatus).supportsIncarnationIds());
+  CHECK(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).supportsIncarnationIds());
 }
 
 /// Returns the encoded envelope of a frame.
@@ -146,7 +146,7 @@
   const auto hello =
       decode<MemberHello>(encode(LegacyHello{MemberId{3}, NodeName("c:1"), "c:1", "c:2", true}));
   CHECK(hello.http == "c:2");
-  CHECK_FALSE(hello.readsContacts());
+  CHECK_FALSE(hello.supportsContacts());
   CHECK(decode<MemberList>(encode(LegacyMemberList{{}, NodeName("c:1")})).status_interval_ms == 0);
   CHECK_FALSE(read<CallRouterStatus>(recorded::with_loads::kRouterStatus).subscribes);
   CHECK(read<ServiceUpdate>(recorded::with_loads::kServiceUpdate).table == 0);
