--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -449,7 +449,8 @@
   }
 }
 
-TEST_CASE("Orders carry the fence, the holder and the expected count; statuses tell what became of them") {
+TEST_CASE(
+    "Orders carry the fence, the holder and the expected count, and statuses tell what became of them") {
   const PlatformOrderDialect orders;
   services::OrderReplicaEffect order;
   order.replica = ReplicaId("i-1");
--- a/tests/platform/whole_path_test.cc
+++ b/tests/platform/whole_path_test.cc
@@ -480,7 +480,8 @@
   CHECK(fleet.askControl("GET", "/api/evacuations", "").body == R"({"zones":[]})");
 }
 
-TEST_CASE("Operators see which calls are kept away from replicas; a release that can't be read says why") {
+TEST_CASE(
+    "Operators see which calls are kept away from replicas, and a release that can't be read says why") {
   Fleet fleet;
   CHECK(fleet.askControl("GET", "/api/quarantine", "").body == R"({"calls":[]})");
   const std::string fingerprint(32, 'a');
--- a/tests/service_process/replica_client_test.cc
+++ b/tests/service_process/replica_client_test.cc
@@ -232,7 +232,7 @@
   CHECK((second.failure.has_value() || second.body == "ok"));
 }
 
-TEST_CASE("A stream is passed on in complete events; a truncated stream is reported as a failure") {
+TEST_CASE("A stream is passed on in complete events, and a truncated stream is reported as a failure") {
   const std::string head =
       answerText("Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n", "");
   const std::string two = "11\r\nid: 1\ndata: a\n\nid\r\nf\r\n: 2\ndata: bcd\n\n\r\n";
