--- a/src/calls/call_router_tenants.cc
+++ b/src/calls/call_router_tenants.cc
@@ -109,7 +109,7 @@
   state.charged = 0;
   if (reply.verdict == QuotaVerdict::Exhausted) {
     ++counts_.quota_spent;
-    refuse(call, ResultCode::QuotaUsageTotal, "", reply.retry_after, now);
+    refuse(call, ResultCode::QuotaSpent, "", reply.retry_after, now);
   } else {
     ++counts_.quota_undecided;
     refuse(call, ResultCode::ControlUnavailable, "no leader is available to decide on the tenant's quota",
--- a/src/common/result_code.cc
+++ b/src/common/result_code.cc
@@ -74,7 +74,7 @@
     {CatalogUnproved, "CatalogUnproved", 503,
      "The router can't prove that its catalog is the newest, so it obeys none of the keys in it.",
      "Come back after Retry-After; if it lasts, look whether the router reaches the control cell."},
-    {QuotaUsageTotal, "QuotaSpent", 429, "The tenant's quota is used up.",
+    {QuotaSpent, "QuotaSpent", 429, "The tenant's quota is used up.",
      "Come back after Retry-After, or ask the operator for a larger quota."},
     {CallQuarantined, "CallQuarantined", 503,
      "Several replicas ended while they ran this very call, so it isn't sent to another; this sending hasn't "
--- a/src/common/result_code.h
+++ b/src/common/result_code.h
@@ -46,7 +46,7 @@
   ReplicaRefused = 2020,
   ReplicaFailed = 2021,
   CatalogUnproved = 2022,
-  QuotaUsageTotal = 2023,
+  QuotaSpent = 2023,
   CallQuarantined = 2024,
   ReplicaBackoff = 2025,
   ReplicaLimited = 2026,
--- a/src/load/experiment/clairvoyant_bound.cc
+++ b/src/load/experiment/clairvoyant_bound.cc
@@ -22,20 +22,20 @@
       : settings_(settings), trace_(trace) {}
 
   std::vector<Gap> collect() {
-    std::vector<std::vector<const TracedRequest*>> local_loads(trace_.models.size());
+    std::vector<std::vector<const TracedRequest*>> uses(trace_.models.size());
     for (const TracedRequest& request : trace_.requests) {
-      local_loads[trace_.models[request.model].base].push_back(&request);
+      uses[trace_.models[request.model].base].push_back(&request);
     }
-    for (std::size_t model = 0; model < local_loads.size(); ++model) {
+    for (std::size_t model = 0; model < uses.size(); ++model) {
       if (trace_.models[model].rarely_used) {
-        collectModel(trace_.models[model].settings, local_loads[model]);
+        collectModel(trace_.models[model].settings, uses[model]);
       }
     }
     return std::move(gaps_);
   }
 
  private:
-  void collectModel(const wire::ResolvedModel& model, const std::vector<const TracedRequest*>& local_loads) {
+  void collectModel(const wire::ResolvedModel& model, const std::vector<const TracedRequest*>& uses) {
     const double share = model.accelerators *
                          static_cast<double>(model.weight_bytes + model.cache_reserve_bytes) /
                          static_cast<double>(settings_.engine.bytes_per_accelerator);
@@ -43,19 +43,18 @@
                           transferTime(settings_.engine, model.weight_bytes * model.accelerators,
                                        settings_.engine.memory_bytes_per_second);
     Duration busy_until = settings_.requests_lead;
-    for (std::size_t index = 0; index < local_loads.size(); ++index) {
-      const Duration at = local_loads[index]->at;
+    for (std::size_t index = 0; index < uses.size(); ++index) {
+      const Duration at = uses[index]->at;
       if (at > busy_until && at >= settings_.requests_lead) {
         Gap gap{toSeconds(at - busy_until) * share, toSeconds(load + settings_.engine.unload_time) * share, 0,
                 0};
-        for (std::size_t next = index; next < local_loads.size() && local_loads[next]->at < at + load;
-             ++next) {
-          gap.waits += toSeconds(at + load - local_loads[next]->at);
+        for (std::size_t next = index; next < uses.size() && uses[next]->at < at + load; ++next) {
+          gap.waits += toSeconds(at + load - uses[next]->at);
           gap.cold_requests += 1;
         }
         gaps_.push_back(gap);
       }
-      busy_until = std::max(busy_until, at + local_loads[index]->service);
+      busy_until = std::max(busy_until, at + uses[index]->service);
     }
   }
 
--- a/tests/calls/tenant_test.cc
+++ b/tests/calls/tenant_test.cc
@@ -224,7 +224,7 @@
   }
   SECTION("refused, with the time at which there is credit") {
     fixture.decide(call.value, false, 700);
-    CHECK(fixture.refusal() == ResultCode::QuotaUsageTotal);
+    CHECK(fixture.refusal() == ResultCode::QuotaSpent);
     CHECK(fixture.last<RefuseCallEffect>()->not_run);
     CHECK(fixture.last<RefuseCallEffect>()->retry_after == 700ms);
   }
