--- a/src/calls/call_router.cc
+++ b/src/calls/call_router.cc
@@ -322,7 +322,7 @@
     refuse(call, ResultCode::ReplicaBackoff, "all replicas that could run the call are in a backoff",
            retry_after, now);
   } else {
-    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is still being loaded", retry_after, now);
+    refuse(call, ResultCode::LoadCannotFinishInTime, "the model is being loaded", retry_after, now);
   }
   return true;
 }
