--- a/tests/services/service_control_test.cc
+++ b/tests/services/service_control_test.cc
@@ -199,7 +199,7 @@
   cell.cluster.runFor(3s);
   const std::size_t before = router.updates;
   for (int i = 0; i < 50; ++i) {
-    cell.cluster.tell(router);
+    cell.cluster.sendStatus(router);
     cell.cluster.runFor(20ms);
   }
   CHECK(router.updates - before >= 3);
@@ -207,7 +207,7 @@
   router.model_calls = {{ServiceName("llm"), ModelName("m1"), "", 1, 0, 1}};
   const std::size_t before_waiting = router.updates;
   for (int i = 0; i < 10; ++i) {
-    cell.cluster.tell(router);
+    cell.cluster.sendStatus(router);
     cell.cluster.runFor(20ms);
   }
   CHECK(router.updates - before_waiting >= 10);
