--- a/tests/platform/soak/soak_limit_judge.cc
+++ b/tests/platform/soak/soak_limit_judge.cc
@@ -6,7 +6,7 @@
   const auto [place, fresh] = replicas_.try_emplace(replica);
   if (fresh) {
     for (const Excuse& excuse : excuses_) {
-      place->second.excuse(excuse.router, excuse.from, excuse.to);
+      place->second.exclude(excuse.router, excuse.from, excuse.to);
     }
   }
   return place->second;
@@ -15,7 +15,7 @@
 void SoakLimitJudge::onNamed(const std::string& service, const std::string& replica,
                              std::optional<double> per_second, TimePoint now) {
   named_ += per_second ? 1 : 0;
-  of(replica).named(per_second, now);
+  of(replica).limitAnnounced(per_second, now);
   if (per_second) {
     limited_[service] = replica;
   } else {
@@ -24,11 +24,11 @@
 }
 
 void SoakLimitJudge::onArrived(const std::string& replica, const std::string& router, TimePoint now) {
-  of(replica).arrived(router, now);
+  of(replica).callArrived(router, now);
 }
 
 void SoakLimitJudge::onTold(const std::string& replica, const std::string& router, TimePoint at) {
-  of(replica).told(router, at);
+  of(replica).limitReceived(router, at);
 }
 
 void SoakLimitJudge::excuse(const std::string& router, TimePoint from, TimePoint to) {
