--- a/src/calls/call_router.h
+++ b/src/calls/call_router.h
@@ -278,7 +278,7 @@
   void applyCatalog(const NodeName& from, const wire::ServiceCatalog& catalog,
                     std::optional<TimePoint> last_leader_contact, TimePoint now);
   void logTableChanges(const wire::ServiceUpdate& update, TimePoint now);
-  std::vector<wire::ModelCallCounts> model_calls(TimePoint now);
+  std::vector<wire::ModelCallCounts> modelCalls(TimePoint now);
   void sendStatuses(TimePoint now);
   Effects finish(TimePoint now);
 
--- a/src/calls/call_router_control.cc
+++ b/src/calls/call_router_control.cc
@@ -127,7 +127,7 @@
   }
 }
 
-std::vector<wire::ModelCallCounts> CallRouter::model_calls(TimePoint now) {
+std::vector<wire::ModelCallCounts> CallRouter::modelCalls(TimePoint now) {
   std::map<std::tuple<ServiceName, ModelName, std::string>, wire::ModelCallCounts> merged;
   const auto entry = [&merged](const auto& key) -> wire::ModelCallCounts& {
     wire::ModelCallCounts& want = merged[key];
@@ -174,7 +174,7 @@
     effects_.emplace_back(RenewConnectionEffect{std::move(member)});
   }
   const NodeName leader = feed_.leader();
-  RouterState state{model_calls(now),          replicas_.unreachable(now), ready(),
+  RouterState state{modelCalls(now),           replicas_.unreachable(now), ready(),
                     catalogVersion(),          crashes_.digest(),          replicas_.takeLocalLoads(),
                     replicas_.takeEventGaps(), interests_.list(now)};
   for (wire::SendEffect& send : feed_.statuses(std::move(state), now)) {
--- a/tests/common/event_log_test.cc
+++ b/tests/common/event_log_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 TEST_CASE(
-    "A stalled reader of the log output never blocks the writer; dropped lines are counted and reported "
+    "A stalled reader of the log output never blocks the writer, and dropped lines are counted and reported "
     "later") {
   int ends[2] = {-1, -1};
   REQUIRE(::pipe(ends) == 0);
--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -188,7 +188,7 @@
 };
 
 TEST_CASE(
-    "The time for which a replica wants no calls is read in seconds with fractions; all else is told "
+    "The time for which a replica wants no calls is read in seconds with fractions, and all else is told "
     "unread") {
   using std::chrono::milliseconds;
   const std::vector<RetryAfterCase> cases = {
@@ -221,7 +221,8 @@
 };
 
 TEST_CASE(
-    "The calls a second that a replica takes are read as a decimal number from 0; all else is told unread") {
+    "The calls a second that a replica takes are read as a decimal number from 0, and all else is told "
+    "unread") {
   const std::vector<LimitCase> cases = {
       {"1.2", 1.2},
       {"0", 0.0},
--- a/tests/router_process/data_folder_test.cc
+++ b/tests/router_process/data_folder_test.cc
@@ -20,7 +20,7 @@
 }
 
 TEST_CASE(
-    "a saved table outlasts a crash; at each operation of a later save the old or the new one is found") {
+    "a saved table outlasts a crash, and at each operation of a later save the old or the new one is found") {
   for (std::uint64_t operation = 0; operation < 12; ++operation) {
     CAPTURE(operation);
     storage::MemoryDisk disk(operation);
--- a/tests/services/replica_choice_test.cc
+++ b/tests/services/replica_choice_test.cc
@@ -42,7 +42,7 @@
 };
 
 TEST_CASE(
-    "A router gets few replicas, most from its own zone; all routers together use all replicas evenly") {
+    "A router gets few replicas, most from its own zone, and all routers together use all replicas evenly") {
   ChoiceFixture fixture;
   std::map<ReplicaId, std::size_t> selections;
   constexpr std::size_t kRouters = 400;
--- a/tests/transport/transport_test.cc
+++ b/tests/transport/transport_test.cc
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE(
-    "a process that doesn't read queues a bounded number of messages; further messages queue at their "
+    "a process that doesn't read queues a bounded number of messages, and further messages queue at their "
     "sender") {
   const auto dispatcher = event::createAceDispatcher();
   TransportSettings settings;
