--- a/tests/services/model_placer_store_test.cc
+++ b/tests/services/model_placer_store_test.cc
@@ -84,7 +84,7 @@
 
   void run(Duration duration) {
     for (const TimePoint end = now + duration; now < end; now += kStep) {
-      demand_.accept(NodeName("edge"), model_calls(), now);
+      demand_.accept(NodeName("edge"), modelCalls(), now);
       demand_.decay(now);
       handle(placer_.plan(catalog_, {}, now));
       advance();
@@ -134,7 +134,7 @@
     settings.fence = Term{3};
     return settings;
   }
-  std::vector<wire::ModelCallCounts> model_calls() {
+  std::vector<wire::ModelCallCounts> modelCalls() {
     std::vector<wire::ModelCallCounts> model_calls;
     for (const ModelName& model : requested_) {
       if (!held(model.value)) {
